--- /dev/null
+++ b/deploy_test.go
@@ -0,0 +1,25 @@
+package main
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+
+	"github.com/lichenfall/lichenfall/golden"
+)
+
+// TestDeployFiles holds the files by which the users' platform builds, starts
+// and sets up the programs, byte for byte.
+func TestDeployFiles(t *testing.T) {
+	var out strings.Builder
+	for _, file := range []string{"deploy/system.toml", "platform/coordinator.hujson", "platform/worker.hujson"} {
+		text, err := os.ReadFile(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&out, "%x  %s\n", sha256.Sum256(text), file)
+	}
+	golden.Check(t, "deploy.golden", out.String())
+}
--- /dev/null
+++ b/metrics/golden_test.go
@@ -0,0 +1,37 @@
+package metrics_test
+
+import (
+	"net/http/httptest"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/lichenfall/lichenfall/golden"
+	"github.com/lichenfall/lichenfall/metrics"
+)
+
+// TestNames holds the name and labels of every metric of ours: dashboards and
+// alerts of the operators name them.
+func TestNames(t *testing.T) {
+	r := metrics.New("role")
+	metrics.NewAgent(r.Scope)
+	metrics.NewDispatch(r.Scope)
+	jobs := metrics.NewJobs(r.Scope)
+	jobs.Call(1, "none", time.Millisecond)
+	jobs.Commit("ok", 1, time.Millisecond)
+	jobs.Decision("run_ended")
+	r.Close()
+	w := httptest.NewRecorder()
+	r.Handler.ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
+	value := regexp.MustCompile(` [^ }]+$`)
+	var lines []string
+	for _, l := range strings.Split(w.Body.String(), "\n") {
+		if strings.HasPrefix(l, "lichenfall_") {
+			lines = append(lines, value.ReplaceAllString(l, ""))
+		}
+	}
+	slices.Sort(lines)
+	golden.Check(t, "names.golden", strings.Join(lines, "\n")+"\n")
+}
