--- a/fakestore/store.go
+++ b/fakestore/store.go
@@ -5,8 +5,6 @@
 	"sync"
 	"time"
 
-	"github.com/zeebo/errs"
-
 	"github.com/lichenfall/lichenfall/durable"
 	"github.com/lichenfall/lichenfall/queues"
 	"github.com/lichenfall/lichenfall/store"
@@ -19,7 +17,6 @@
 	configuration *queues.Configuration
 	changed       chan struct{} // closed and replaced at each change
 	refusing      bool
-	losing        bool
 	hidden        bool // the registered processes cannot be read
 }
 
@@ -30,9 +27,6 @@
 	return &Store{state: NewState(partitions), changed: make(chan struct{})}
 }
 
-// errLost is the error of a call that was carried out without an answer.
-var errLost = errs.New("the answer was lost")
-
 // Refuse makes the store turn away all calls, or take them again.
 func (s *Store) Refuse(refuse bool) {
 	s.mu.Lock()
@@ -40,14 +34,6 @@
 	s.refusing = refuse
 }
 
-// LoseAnswers makes the store carry out appends without answering, or answer
-// again.
-func (s *Store) LoseAnswers(lose bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.losing = lose
-}
-
 // HideMembers makes the registered processes unreadable, or readable again.
 func (s *Store) HideMembers(hide bool) {
 	s.mu.Lock()
@@ -108,9 +94,6 @@
 		return store.ErrRefused
 	}
 	err := s.state.Append(partition, epoch, number, records)
-	if s.losing {
-		return errLost
-	}
 	return err
 }
 
--- a/local/cluster.go
+++ b/local/cluster.go
@@ -68,7 +68,7 @@
 
 func (c *Cluster) start(ctx context.Context) error {
 	var err error
-	if c.Platform, err = fakeplatform.New(fakeplatform.Settings{Listen: ports.Any}, c.opts.Seed); err != nil {
+	if c.Platform, err = fakeplatform.New(ports.Any); err != nil {
 		return err
 	}
 	if c.holders, err = ports.Free(c.opts.Agents); err != nil {
--- a/logservice/client.go
+++ b/logservice/client.go
@@ -1,9 +1,7 @@
-// Package logservice speaks to the log service: its append-only log and
-// its list of boxes.
+// Package logservice speaks to the log service: its list of boxes.
 package logservice
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -16,34 +14,6 @@
 	"github.com/lichenfall/lichenfall/membership"
 )
 
-// Record is one record of a stream of the log.
-type Record struct {
-	Offset uint64    `json:"offset"`
-	Time   time.Time `json:"time"`
-	Data   []byte    `json:"data"`
-}
-
-// Page is what a reading of a stream returns.
-type Page struct {
-	First   uint64   `json:"first"` // the oldest offset still kept
-	Next    uint64   `json:"next"`  // the offset that the next append gets
-	Records []Record `json:"records"`
-}
-
-// Appended is the answer to an append.
-type Appended struct {
-	Offset uint64 `json:"offset"`
-}
-
-// ErrOutcomeUnknown means that an append may or may not have taken effect.
-var ErrOutcomeUnknown = errs.New("the append's answer was lost")
-
-// ErrRefused means that an append certainly had no effect.
-var ErrRefused = errs.New("the log refused the append")
-
-// ErrGone means that the records asked for are no longer kept.
-var ErrGone = errs.New("the log no longer keeps records of that offset")
-
 const maxReply = 32 << 20
 
 // Client speaks to one platform service.
@@ -73,44 +43,6 @@
 	return list, true, errs.Wrap(err)
 }
 
-// Read reads at most limit records of the stream, beginning at offset from.
-func (c *Client) Read(ctx context.Context, stream string, from uint64, limit int) (Page, error) {
-	status, body, err := c.get(ctx, fmt.Sprintf("/v1/streams/%s/records?from=%d&limit=%d", stream, from, limit))
-	switch {
-	case err != nil:
-		return Page{}, err
-	case status == http.StatusGone:
-		return Page{}, ErrGone
-	case status != http.StatusOK:
-		return Page{}, errs.New("read of %s: status %d", stream, status)
-	}
-	var p Page
-	err = json.Unmarshal(body, &p)
-	return p, errs.Wrap(err)
-}
-
-// Append appends data to the stream and returns its offset. After any error
-// but ErrRefused the record may be there all the same.
-func (c *Client) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.url+"/v1/streams/"+stream+"/records", bytes.NewReader(data))
-	if err != nil {
-		return 0, errs.Wrap(err)
-	}
-	req.GetBody = nil
-	status, body, err := c.do(req)
-	if err != nil {
-		return 0, errs.Combine(ErrOutcomeUnknown, err)
-	}
-	if status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable {
-		return 0, ErrRefused
-	}
-	var a Appended
-	if status != http.StatusOK || json.Unmarshal(body, &a) != nil {
-		return 0, ErrOutcomeUnknown
-	}
-	return a.Offset, nil
-}
-
 func (c *Client) get(ctx context.Context, path string) (status int, body []byte, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url+path, nil)
 	if err != nil {
