--- a/Makefile
+++ b/Makefile
@@ -2,7 +2,7 @@
 GO ?= go
 VERSION ?= $(shell git describe --tags --always --dirty 2>/dev/null || echo unversioned)
 
-.PHONY: build test lint dev bench soak soak-jobs random mutants fuzz docs generate
+.PHONY: build test lint dev bench soak-submissions soak-jobs random mutants fuzz docs generate
 
 build: ## build bin/lichenfall
 	$(GO) build -trimpath -ldflags "-X github.com/lichenfall/lichenfall/commands.version=$(VERSION)" -o bin/lichenfall .
@@ -17,10 +17,10 @@
 	$(GO) run . dev
 
 bench: ## benchmarks of the cores and the codec
-	$(GO) test -run '^$$' -bench . -benchmem ./dispatch ./queue ./claim ./wire
+	$(GO) test -run '^$$' -bench . -benchmem ./submissions/dispatch ./submissions/queue ./submissions/claim ./wire ./jobs/scheduler ./jobs/runtable
 
-soak: build ## ten minutes of real processes under kills and pauses
-	$(GO) test -tags soak ./soak -run TestSoak -v -count=1 -timeout 30m -args -soak.duration 10m
+soak-submissions: build ## ten minutes of real processes under kills and pauses
+	$(GO) test -tags soak ./submissions/soak -run TestSoak -v -count=1 -timeout 30m -args -soak.duration 10m
 
 SEEDS ?= 50
 FIRST ?= 1
@@ -28,14 +28,14 @@
 	LICHENFALL_SOAK_SEEDS=$(SEEDS) LICHENFALL_SOAK_FIRST=$(FIRST) $(GO) test ./platform -run TestSoak -v -count=1 -timeout 60m
 
 random: ## 200,000 randomised cases
-	LICHENFALL_CASES=200000 $(GO) test ./dispatch -run TestRandomised -v
+	LICHENFALL_CASES=200000 $(GO) test ./submissions/dispatch -run TestRandomised -v
 
 mutants: ## break the program on purpose; every break must be caught
 	scripts/mutants
 
 fuzz: ## half a minute for each decoder
 	$(GO) test ./wire -run '^$$' -fuzz FuzzRead -fuzztime 30s
-	$(GO) test ./job -run '^$$' -fuzz FuzzDecode -fuzztime 30s
+	$(GO) test ./submissions/job -run '^$$' -fuzz FuzzDecode -fuzztime 30s
 
 docs: build ## rewrite the pages that are made from code
 	bin/lichenfall pages docs
--- a/commands/agent.go
+++ b/commands/agent.go
@@ -4,9 +4,9 @@
 	"context"
 	"fmt"
 
-	"github.com/lichenfall/lichenfall/agent"
 	"github.com/lichenfall/lichenfall/config"
-	"github.com/lichenfall/lichenfall/logging"
+	"github.com/lichenfall/lichenfall/lib/logging"
+	"github.com/lichenfall/lichenfall/submissions/agent"
 )
 
 func init() {
--- a/commands/coordinator.go
+++ b/commands/coordinator.go
@@ -8,8 +8,8 @@
 	"go.uber.org/zap"
 
 	"github.com/lichenfall/lichenfall/config"
-	"github.com/lichenfall/lichenfall/coordinator"
-	"github.com/lichenfall/lichenfall/logging"
+	"github.com/lichenfall/lichenfall/jobs/coordinator"
+	"github.com/lichenfall/lichenfall/lib/logging"
 	"github.com/lichenfall/lichenfall/metrics"
 	"github.com/lichenfall/lichenfall/platform"
 )
--- a/commands/daemon.go
+++ b/commands/daemon.go
@@ -10,9 +10,9 @@
 	"go.uber.org/zap"
 
 	"github.com/lichenfall/lichenfall/config"
-	"github.com/lichenfall/lichenfall/logging"
+	"github.com/lichenfall/lichenfall/lib/logging"
+	"github.com/lichenfall/lichenfall/lib/web"
 	"github.com/lichenfall/lichenfall/metrics"
-	"github.com/lichenfall/lichenfall/web"
 )
 
 // settingsVariable names the settings file where no --config is given.
--- a/commands/dev.go
+++ b/commands/dev.go
@@ -5,9 +5,10 @@
 	"fmt"
 	"time"
 
-	"github.com/lichenfall/lichenfall/fakebackend"
-	"github.com/lichenfall/lichenfall/local"
-	"github.com/lichenfall/lichenfall/logging"
+	joblocal "github.com/lichenfall/lichenfall/jobs/local"
+	"github.com/lichenfall/lichenfall/lib/logging"
+	"github.com/lichenfall/lichenfall/submissions/fakebackend"
+	"github.com/lichenfall/lichenfall/submissions/local"
 )
 
 func init() {
@@ -51,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	jobs, err := local.StartJobs(local.JobOptions{
+	jobs, err := joblocal.Start(joblocal.Options{
 		Coordinators: c.Entries,
 		Workers:      c.Agents,
 		HTTP:         c.Jobs,
@@ -90,11 +91,11 @@
 `, urls[0], local.Team, local.Pool)
 }
 
-func (c *devCommand) greetJobs(jobs *local.JobCluster) {
+func (c *devCommand) greetJobs(jobs *joblocal.Cluster) {
 	fmt.Printf(`
 Beside them %d coordinators and %d workers, on a stand-in store:
 
   curl -s %[3]s/v1/jobs -d '{"id":"5c0e7a21d94b36f8","queue":"%[4]s","spec":"x","steps":[{"count":20,"milli_cpu":500,"estimate_ms":50}]}'
   curl -s %[3]s/v1/jobs/5c0e7a21d94b36f8
-`, c.Entries, c.Agents, jobs.URLs[0], local.Queue)
+`, c.Entries, c.Agents, jobs.URLs[0], joblocal.Queue)
 }
--- a/commands/entry.go
+++ b/commands/entry.go
@@ -5,8 +5,8 @@
 	"fmt"
 
 	"github.com/lichenfall/lichenfall/config"
-	"github.com/lichenfall/lichenfall/entry"
-	"github.com/lichenfall/lichenfall/logging"
+	"github.com/lichenfall/lichenfall/lib/logging"
+	"github.com/lichenfall/lichenfall/submissions/entry"
 )
 
 func init() {
--- a/commands/errors.go
+++ b/commands/errors.go
@@ -5,7 +5,7 @@
 	"os"
 	"text/tabwriter"
 
-	"github.com/lichenfall/lichenfall/failure"
+	"github.com/lichenfall/lichenfall/lib/failure"
 )
 
 func init() {
--- a/commands/fakebackend.go
+++ b/commands/fakebackend.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"github.com/lichenfall/lichenfall/fakebackend"
+	"github.com/lichenfall/lichenfall/submissions/fakebackend"
 )
 
 func init() {
--- a/commands/fakeplatform.go
+++ b/commands/fakeplatform.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"github.com/lichenfall/lichenfall/fakeplatform"
+	"github.com/lichenfall/lichenfall/submissions/fakeplatform"
 )
 
 func init() {
--- a/commands/load.go
+++ b/commands/load.go
@@ -7,11 +7,11 @@
 	"time"
 
 	"github.com/lichenfall/lichenfall/config"
-	"github.com/lichenfall/lichenfall/fakebackend"
-	"github.com/lichenfall/lichenfall/load"
-	"github.com/lichenfall/lichenfall/local"
-	"github.com/lichenfall/lichenfall/logging"
+	"github.com/lichenfall/lichenfall/lib/logging"
 	"github.com/lichenfall/lichenfall/metrics"
+	"github.com/lichenfall/lichenfall/submissions/fakebackend"
+	"github.com/lichenfall/lichenfall/submissions/load"
+	"github.com/lichenfall/lichenfall/submissions/local"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/commands/pages.go
+++ b/commands/pages.go
@@ -10,7 +10,7 @@
 
 	"github.com/jessevdk/go-flags"
 
-	"github.com/lichenfall/lichenfall/failure"
+	"github.com/lichenfall/lichenfall/lib/failure"
 )
 
 func init() {
--- a/commands/status.go
+++ b/commands/status.go
@@ -7,8 +7,8 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/lichenfall/lichenfall/client"
-	"github.com/lichenfall/lichenfall/entry"
+	"github.com/lichenfall/lichenfall/submissions/client"
+	"github.com/lichenfall/lichenfall/submissions/entry"
 )
 
 func init() {
--- a/commands/submit.go
+++ b/commands/submit.go
@@ -8,8 +8,8 @@
 	"os"
 	"time"
 
-	"github.com/lichenfall/lichenfall/client"
-	"github.com/lichenfall/lichenfall/job"
+	"github.com/lichenfall/lichenfall/submissions/client"
+	"github.com/lichenfall/lichenfall/submissions/job"
 )
 
 func init() {
--- a/commands/worker.go
+++ b/commands/worker.go
@@ -6,10 +6,10 @@
 	"go.uber.org/zap"
 
 	"github.com/lichenfall/lichenfall/config"
-	"github.com/lichenfall/lichenfall/logging"
+	"github.com/lichenfall/lichenfall/jobs/worker"
+	"github.com/lichenfall/lichenfall/lib/logging"
 	"github.com/lichenfall/lichenfall/metrics"
 	"github.com/lichenfall/lichenfall/platform"
-	"github.com/lichenfall/lichenfall/worker"
 )
 
 func init() {
--- a/config/checker.go
+++ b/config/checker.go
@@ -7,7 +7,7 @@
 	"net/url"
 	"strconv"
 
-	"github.com/lichenfall/lichenfall/job"
+	"github.com/lichenfall/lichenfall/submissions/job"
 )
 
 // checker collects what is wrong with the values of a file.
--- a/config/golden_test.go
+++ b/config/golden_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"github.com/lichenfall/lichenfall/config"
-	"github.com/lichenfall/lichenfall/golden"
+	"github.com/lichenfall/lichenfall/lib/golden"
 )
 
 // required are the keys without a default, each with a value that is allowed.
--- a/config/runs.go
+++ b/config/runs.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/lichenfall/lichenfall/runtable"
+	"github.com/lichenfall/lichenfall/jobs/runtable"
 )
 
 // Runs is the worker's section on the runs beside it. Partitions and leases
--- a/config/scheduler.go
+++ b/config/scheduler.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/lichenfall/lichenfall/scheduler"
+	"github.com/lichenfall/lichenfall/jobs/scheduler"
 )
 
 // Scheduler is the section on jobs and where their tasks run.
--- a/config/subset.go
+++ b/config/subset.go
@@ -1,6 +1,6 @@
 package config
 
-import "github.com/lichenfall/lichenfall/membership"
+import "github.com/lichenfall/lichenfall/jobs/subset"
 
 // Subset is the section on the workers that a coordinator keeps connections to.
 type Subset struct {
@@ -12,8 +12,8 @@
 func DefaultSubset() Subset { return Subset{Size: 48, Coverage: 4} }
 
 // Core returns the settings of the choice.
-func (s *Subset) Core() membership.SubsetSettings {
-	return membership.SubsetSettings{Size: s.Size, Coverage: s.Coverage}
+func (s *Subset) Core() subset.Settings {
+	return subset.Settings{Size: s.Size, Coverage: s.Coverage}
 }
 
 func (s *Subset) check(c *checker) {
--- a/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -1,13 +1,14 @@
-package main
+package deploy_test
 
 import (
 	"crypto/sha256"
 	"fmt"
 	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 
-	"github.com/lichenfall/lichenfall/golden"
+	"github.com/lichenfall/lichenfall/lib/golden"
 )
 
 // TestDeployFiles holds the files by which the users' platform builds, starts
@@ -15,7 +16,7 @@
 func TestDeployFiles(t *testing.T) {
 	var out strings.Builder
 	for _, file := range []string{"deploy/system.toml", "platform/coordinator.hujson", "platform/worker.hujson"} {
-		text, err := os.ReadFile(file)
+		text, err := os.ReadFile(filepath.Join("..", filepath.FromSlash(file)))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/coordinator/api.go
+++ b/jobs/coordinator/api.go
@@ -8,11 +8,11 @@
 
 	"github.com/labstack/echo/v4"
 
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/queues"
-	"github.com/lichenfall/lichenfall/scheduler"
-	"github.com/lichenfall/lichenfall/web"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/jobs/routing"
+	"github.com/lichenfall/lichenfall/jobs/scheduler"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/lib/web"
 )
 
 // JobRequest is the body of POST /v1/jobs, the product's own interface.
@@ -131,7 +131,7 @@
 	return j.submission(*queue)
 }
 
-func queueNamed(cfg *queues.Configuration, name string) *durable.Queue {
+func queueNamed(cfg *routing.Configuration, name string) *durable.Queue {
 	for i := range cfg.Rules {
 		if cfg.Rules[i].Queue.Name == name {
 			return &cfg.Rules[i].Queue
--- a/coordinator/appender.go
+++ b/jobs/coordinator/appender.go
@@ -6,10 +6,10 @@
 
 	"go.uber.org/zap"
 
-	"github.com/lichenfall/lichenfall/logging"
-	"github.com/lichenfall/lichenfall/loop"
-	"github.com/lichenfall/lichenfall/scheduler"
-	"github.com/lichenfall/lichenfall/store"
+	"github.com/lichenfall/lichenfall/jobs/scheduler"
+	"github.com/lichenfall/lichenfall/jobs/store"
+	"github.com/lichenfall/lichenfall/lib/logging"
+	"github.com/lichenfall/lichenfall/lib/loop"
 )
 
 // appender appends the commits of one partition under one epoch, each until
--- a/coordinator/calls.go
+++ b/jobs/coordinator/calls.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/peer"
-	"github.com/lichenfall/lichenfall/scheduler"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/jobs/scheduler"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/lib/peer"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/coordinator/control.go
+++ b/jobs/coordinator/control.go
@@ -5,10 +5,10 @@
 
 	"go.uber.org/zap"
 
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/peer"
-	"github.com/lichenfall/lichenfall/scheduler"
-	"github.com/lichenfall/lichenfall/store"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/jobs/scheduler"
+	"github.com/lichenfall/lichenfall/jobs/store"
+	"github.com/lichenfall/lichenfall/lib/peer"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/coordinator/coordinator.go
+++ b/jobs/coordinator/coordinator.go
@@ -14,15 +14,15 @@
 	"go.uber.org/zap"
 
 	"github.com/lichenfall/lichenfall/config"
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/logging"
-	"github.com/lichenfall/lichenfall/loop"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/jobs/ownership"
+	"github.com/lichenfall/lichenfall/jobs/routing"
+	"github.com/lichenfall/lichenfall/jobs/scheduler"
+	"github.com/lichenfall/lichenfall/jobs/store"
+	"github.com/lichenfall/lichenfall/lib/logging"
+	"github.com/lichenfall/lichenfall/lib/loop"
+	"github.com/lichenfall/lichenfall/lib/peer"
 	"github.com/lichenfall/lichenfall/metrics"
-	"github.com/lichenfall/lichenfall/ownership"
-	"github.com/lichenfall/lichenfall/peer"
-	"github.com/lichenfall/lichenfall/queues"
-	"github.com/lichenfall/lichenfall/scheduler"
-	"github.com/lichenfall/lichenfall/store"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
@@ -58,7 +58,7 @@
 
 	joinsFailed int // joins without success since the last with it
 
-	configuration atomic.Pointer[queues.Configuration]
+	configuration atomic.Pointer[routing.Configuration]
 	waiting       atomic.Pointer[map[string]uint32] // waiting jobs of all coordinators
 	stopping      atomic.Bool
 	serving       atomic.Bool // there are workers that take tasks
@@ -134,7 +134,7 @@
 }
 
 // configure puts a configuration in force unless a newer one is.
-func (c *Coordinator) configure(cfg *queues.Configuration) {
+func (c *Coordinator) configure(cfg *routing.Configuration) {
 	old := c.configuration.Load()
 	if old != nil && cfg.Version <= old.Version {
 		return
@@ -144,7 +144,7 @@
 }
 
 // Configuration returns the configuration in force; nil before the first.
-func (c *Coordinator) Configuration() *queues.Configuration { return c.configuration.Load() }
+func (c *Coordinator) Configuration() *routing.Configuration { return c.configuration.Load() }
 
 // Ready returns whether callers should come here.
 func (c *Coordinator) Ready() bool {
--- a/coordinator/golden_test.go
+++ b/jobs/coordinator/golden_test.go
@@ -10,10 +10,10 @@
 
 	"github.com/labstack/echo/v4"
 
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/golden"
-	"github.com/lichenfall/lichenfall/scheduler"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/jobs/scheduler"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/lib/golden"
 )
 
 // TestAnswersByFailure holds the product's own HTTP answer to each kind of
--- a/coordinator/links.go
+++ b/jobs/coordinator/links.go
@@ -9,8 +9,8 @@
 	"github.com/zeebo/errs"
 	"go.uber.org/zap"
 
-	"github.com/lichenfall/lichenfall/peer"
-	"github.com/lichenfall/lichenfall/store"
+	"github.com/lichenfall/lichenfall/jobs/store"
+	"github.com/lichenfall/lichenfall/lib/peer"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/coordinator/subset.go
+++ b/jobs/coordinator/subset.go
@@ -5,9 +5,9 @@
 
 	"go.uber.org/zap"
 
-	"github.com/lichenfall/lichenfall/membership"
-	"github.com/lichenfall/lichenfall/scheduler"
-	"github.com/lichenfall/lichenfall/store"
+	"github.com/lichenfall/lichenfall/jobs/scheduler"
+	"github.com/lichenfall/lichenfall/jobs/store"
+	"github.com/lichenfall/lichenfall/jobs/subset"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
@@ -27,7 +27,7 @@
 func (c *Coordinator) chooseWorkers(now time.Time) {
 	c.chosenAt = now
 	workers := c.knownWorkers(now)
-	chosen := membership.Subset(c.cfg.Subset.Core(), c.address(), c.liveCoordinators(now), workers)
+	chosen := subset.Choose(c.cfg.Subset.Core(), c.address(), c.liveCoordinators(now), workers)
 	asking := c.core.Asking()
 	for _, w := range workers {
 		home, isChosen := chosen[w.Address]
@@ -62,7 +62,7 @@
 }
 
 // shareWorkers tells the core how many coordinators share its workers.
-func (c *Coordinator) shareWorkers(workers []membership.SubsetWorker) {
+func (c *Coordinator) shareWorkers(workers []subset.Worker) {
 	byService := make(map[string]int)
 	for _, w := range workers {
 		byService[w.Service]++
@@ -74,13 +74,13 @@
 }
 
 // knownWorkers returns the registered workers.
-func (c *Coordinator) knownWorkers(now time.Time) []membership.SubsetWorker {
-	var out []membership.SubsetWorker
+func (c *Coordinator) knownWorkers(now time.Time) []subset.Worker {
+	var out []subset.Worker
 	for address, m := range c.members {
 		if m.Role != store.RoleWorker {
 			continue
 		}
-		w := membership.SubsetWorker{Address: address}
+		w := subset.Worker{Address: address}
 		if m.Backend != nil {
 			w.Service = m.Backend.Service
 		}
--- a/durable/durable_test.go
+++ b/jobs/durable/durable_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"github.com/lichenfall/lichenfall/durable"
+	"github.com/lichenfall/lichenfall/jobs/durable"
 )
 
 func TestDurable(t *testing.T) {
--- a/durable/golden_test.go
+++ b/jobs/durable/golden_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/golden"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/lib/golden"
 )
 
 // TestEncodedRecords holds the bytes of one record of each kind: the store has
--- a/fakebackend/leased.go
+++ b/jobs/fakebackend/backend.go
@@ -1,3 +1,6 @@
+// Package fakebackend is a stand-in for a backend server that runs tasks under a
+// lease. It owns a journal of all that it ran, from which tests tell whether a task
+// ran twice, and keeps its own clock.
 package fakebackend
 
 import (
@@ -8,14 +11,14 @@
 
 	"github.com/google/uuid"
 
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/runtable"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/jobs/runtable"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// Leased is a stand-in for a backend server that runs tasks under a lease, in
+// Backend is a stand-in for a backend server that runs tasks under a lease, in
 // the worker's process. It is a worker.Backend.
-type Leased struct {
+type Backend struct {
 	Capacity durable.Resources
 	Service  string
 	Work     time.Duration // how long each run takes
@@ -25,21 +28,21 @@
 	born     time.Time
 	token    uint64
 	deadline time.Duration // of the lease, on its own clock
-	running  map[wire.RunRef]leasedRun
+	running  map[wire.RunRef]listedRun
 	newest   map[durable.TaskID]uint32
 	ended    []runtable.ListedEnd
 	numbers  uint64
 	starts   map[durable.TaskID]int
-	journal  []LeasedRun
+	journal  []Run
 }
 
-type leasedRun struct {
+type listedRun struct {
 	ends  time.Time
 	entry int // in the journal
 }
 
-// LeasedRun is one run that a Leased carried out.
-type LeasedRun struct {
+// Run is one run that a Backend carried out.
+type Run struct {
 	Ref    wire.RunRef
 	Began  time.Time
 	Ended  time.Time // zero while it runs
@@ -49,7 +52,7 @@
 }
 
 // Journal returns all runs of its life, in the order of their starts.
-func (l *Leased) Journal() []LeasedRun {
+func (l *Backend) Journal() []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.settle()
@@ -59,27 +62,27 @@
 // holdStep is how often a hold that waits looks for ends.
 const holdStep = 2 * time.Millisecond
 
-// NewLeased returns an idle backend server.
-func NewLeased(service string, capacity durable.Resources, work time.Duration) *Leased {
-	return &Leased{
+// New returns an idle backend server.
+func New(service string, capacity durable.Resources, work time.Duration) *Backend {
+	return &Backend{
 		Capacity: capacity,
 		Service:  service,
 		Work:     work,
 		instance: uuid.NewString(),
 		born:     time.Now().Add(-time.Second),
-		running:  make(map[wire.RunRef]leasedRun),
+		running:  make(map[wire.RunRef]listedRun),
 		newest:   make(map[durable.TaskID]uint32),
 		starts:   make(map[durable.TaskID]int),
 	}
 }
 
 // Identity returns what its heartbeats say.
-func (l *Leased) Identity() runtable.Identity {
+func (l *Backend) Identity() runtable.Identity {
 	return runtable.Identity{Instance: l.instance, Service: l.Service, Ready: true, Capacity: l.Capacity}
 }
 
 // Starts returns how often each task has been started.
-func (l *Leased) Starts() map[durable.TaskID]int {
+func (l *Backend) Starts() map[durable.TaskID]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make(map[durable.TaskID]int, len(l.starts))
@@ -90,12 +93,12 @@
 }
 
 // Identify implements worker.Backend.
-func (l *Leased) Identify(context.Context) (instance string, ok bool) { return l.instance, true }
+func (l *Backend) Identify(context.Context) (instance string, ok bool) { return l.instance, true }
 
-func (l *Leased) clock() time.Duration { return time.Since(l.born) }
+func (l *Backend) clock() time.Duration { return time.Since(l.born) }
 
 // settle ends what has ended by now.
-func (l *Leased) settle() {
+func (l *Backend) settle() {
 	over := l.born.Add(l.deadline) // the lease
 	for ref, r := range l.running {
 		switch {
@@ -112,7 +115,7 @@
 
 // forgetNumbers takes what has ended so far out of what can be noted: that an
 // end is acknowledged after the lease has lapsed says nothing.
-func (l *Leased) forgetNumbers() {
+func (l *Backend) forgetNumbers() {
 	for i := range l.journal {
 		if e := &l.journal[i]; e.Noted.IsZero() {
 			e.Number = 0
@@ -120,7 +123,7 @@
 	}
 }
 
-func (l *Leased) end(ref wire.RunRef, how wire.End, at time.Time) {
+func (l *Backend) end(ref wire.RunRef, how wire.End, at time.Time) {
 	entry := &l.journal[l.running[ref].entry]
 	entry.Ended, entry.How, entry.Number = at, how, l.numbers+1
 	delete(l.running, ref)
@@ -130,7 +133,7 @@
 }
 
 // Start implements worker.Backend. It takes whatever its worker thinks fits.
-func (l *Leased) Start(_ context.Context, c runtable.StartCall) runtable.StartResult {
+func (l *Backend) Start(_ context.Context, c runtable.StartCall) runtable.StartResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.settle()
@@ -149,8 +152,8 @@
 	l.token = c.Token
 	l.extend(c.Deadline)
 	now := time.Now()
-	l.running[c.Ref] = leasedRun{ends: now.Add(l.Work), entry: len(l.journal)}
-	l.journal = append(l.journal, LeasedRun{Ref: c.Ref, Began: now})
+	l.running[c.Ref] = listedRun{ends: now.Add(l.Work), entry: len(l.journal)}
+	l.journal = append(l.journal, Run{Ref: c.Ref, Began: now})
 	l.starts[c.Ref.Task]++
 	return runtable.StartAccepted
 }
@@ -158,17 +161,17 @@
 // mostLease is the longest lease that is granted; a longer one is cut to it.
 const mostLease = time.Second
 
-func (l *Leased) extend(deadline time.Duration) {
+func (l *Backend) extend(deadline time.Duration) {
 	l.deadline = max(l.deadline, min(deadline, l.clock()+mostLease))
 }
 
-func (l *Leased) holds(ref wire.RunRef) bool {
+func (l *Backend) holds(ref wire.RunRef) bool {
 	_, ok := l.running[ref]
 	return ok
 }
 
 // Stop implements worker.Backend.
-func (l *Leased) Stop(_ context.Context, c runtable.StopCall) bool {
+func (l *Backend) Stop(_ context.Context, c runtable.StopCall) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.settle()
@@ -180,7 +183,7 @@
 }
 
 // Hold implements worker.Backend.
-func (l *Leased) Hold(ctx context.Context, c runtable.HoldCall) runtable.HoldAnswer {
+func (l *Backend) Hold(ctx context.Context, c runtable.HoldCall) runtable.HoldAnswer {
 	until := time.Now().Add(c.Wait)
 	for {
 		a, news := l.look(c)
@@ -191,7 +194,7 @@
 	}
 }
 
-func (l *Leased) noted(number uint64) {
+func (l *Backend) noted(number uint64) {
 	for i := range l.journal {
 		if e := &l.journal[i]; e.Number == number && number > 0 {
 			e.Noted = time.Now()
@@ -200,7 +203,7 @@
 }
 
 // look returns the lists, and whether there is an end that was not seen.
-func (l *Leased) look(c runtable.HoldCall) (a runtable.HoldAnswer, news bool) {
+func (l *Backend) look(c runtable.HoldCall) (a runtable.HoldAnswer, news bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.settle()
--- a/fakestore/state.go
+++ b/jobs/fakestore/state.go
@@ -10,8 +10,8 @@
 	"sort"
 	"time"
 
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/store"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/jobs/store"
 )
 
 // rememberedAnswers is how many of the last appends of a partition get their
--- a/fakestore/store.go
+++ b/jobs/fakestore/store.go
@@ -5,16 +5,16 @@
 	"sync"
 	"time"
 
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/queues"
-	"github.com/lichenfall/lichenfall/store"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/jobs/routing"
+	"github.com/lichenfall/lichenfall/jobs/store"
 )
 
 // Store is a store.Store for processes on real clocks.
 type Store struct {
 	mu            sync.Mutex
 	state         *State
-	configuration *queues.Configuration
+	configuration *routing.Configuration
 	changed       chan struct{} // closed and replaced at each change
 	refusing      bool
 	hidden        bool // the registered processes cannot be read
@@ -43,7 +43,7 @@
 }
 
 // Configure puts a configuration in force.
-func (s *Store) Configure(c *queues.Configuration) {
+func (s *Store) Configure(c *routing.Configuration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.configuration = c
@@ -142,7 +142,7 @@
 }
 
 // Configurations implements store.Store.
-func (s *Store) Configurations(ctx context.Context, f func(*queues.Configuration)) {
+func (s *Store) Configurations(ctx context.Context, f func(*routing.Configuration)) {
 	s.follow(ctx, func() func() {
 		c := s.configuration
 		return func() {
--- a/local/jobs.go
+++ b/jobs/local/cluster.go
@@ -1,3 +1,6 @@
+// Package local runs coordinators and workers in one process, on a stand-in of
+// the store and of each backend server. Tests and `lichenfall dev` use it. It owns
+// all that it starts, and ends it with Close.
 package local
 
 import (
@@ -8,20 +11,20 @@
 	"github.com/uber-go/tally/v4"
 
 	"github.com/lichenfall/lichenfall/config"
-	"github.com/lichenfall/lichenfall/coordinator"
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/fakebackend"
-	"github.com/lichenfall/lichenfall/fakestore"
-	"github.com/lichenfall/lichenfall/logging"
+	"github.com/lichenfall/lichenfall/jobs/coordinator"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/jobs/fakebackend"
+	"github.com/lichenfall/lichenfall/jobs/fakestore"
+	"github.com/lichenfall/lichenfall/jobs/routing"
+	"github.com/lichenfall/lichenfall/jobs/worker"
+	"github.com/lichenfall/lichenfall/lib/logging"
+	"github.com/lichenfall/lichenfall/lib/ports"
+	"github.com/lichenfall/lichenfall/lib/web"
 	"github.com/lichenfall/lichenfall/metrics"
-	"github.com/lichenfall/lichenfall/ports"
-	"github.com/lichenfall/lichenfall/queues"
-	"github.com/lichenfall/lichenfall/web"
-	"github.com/lichenfall/lichenfall/worker"
 )
 
-// JobOptions says what a JobCluster runs.
-type JobOptions struct {
+// Options says what a Cluster runs.
+type Options struct {
 	Coordinators int
 	Workers      int
 	HTTP         string        // address of the first coordinator; empty means any port
@@ -30,30 +33,30 @@
 	Log          *logging.Log
 }
 
-// Queue is the queue of a JobCluster, and its service.
+// Queue is the queue of a Cluster, and its service.
 const (
 	Queue   = "default"
 	service = "stand-in"
 )
 
-// JobCluster is a running system of coordinators and workers on stand-ins.
-type JobCluster struct {
+// Cluster is a running system of coordinators and workers on stand-ins.
+type Cluster struct {
 	Store        *fakestore.Store
-	Backends     []*fakebackend.Leased
+	Backends     []*fakebackend.Backend
 	Coordinators []*coordinator.Coordinator
 	Workers      []*worker.Worker
 	URLs         []string // of the coordinators' own interface
 
-	opts    JobOptions
+	opts    Options
 	servers []*web.Server
 }
 
 const jobPartitions = 8
 
-// StartJobs starts a JobCluster.
-func StartJobs(o JobOptions) (*JobCluster, error) {
-	c := &JobCluster{Store: fakestore.New(jobPartitions), opts: o}
-	c.Store.Configure(&queues.Configuration{Version: 1, Rules: []queues.Rule{{Host: "localhost", Prefix: "/", Queue: durable.Queue{
+// Start starts a Cluster.
+func Start(o Options) (*Cluster, error) {
+	c := &Cluster{Store: fakestore.New(jobPartitions), opts: o}
+	c.Store.Configure(&routing.Configuration{Version: 1, Rules: []routing.Rule{{Host: "localhost", Prefix: "/", Queue: durable.Queue{
 		Name: Queue, Service: service, MaxAttempts: 3, Stretch: 2, TargetMS: 100,
 	}}}})
 	for i := range o.Workers {
@@ -71,15 +74,15 @@
 	return c, nil
 }
 
-func (c *JobCluster) addWorker(i int) error {
-	b := fakebackend.NewLeased(service, durable.Resources{CPU: 8000, Memory: 8192}, c.opts.Work)
+func (c *Cluster) addWorker(i int) error {
+	b := fakebackend.New(service, durable.Resources{CPU: 8000, Memory: 8192}, c.opts.Work)
 	c.Backends = append(c.Backends, b)
 	w, err := c.startWorker(i)
 	c.Workers = append(c.Workers, w)
 	return err
 }
 
-func (c *JobCluster) startWorker(i int) (*worker.Worker, error) {
+func (c *Cluster) startWorker(i int) (*worker.Worker, error) {
 	cfg := config.DefaultWorker()
 	cfg.Box.Name = fmt.Sprintf("worker-%d", i)
 	cfg.Peers.Listen = ports.Any
@@ -93,7 +96,7 @@
 
 // RestartWorker ends a worker and starts another beside the same backend
 // server.
-func (c *JobCluster) RestartWorker(i int) error {
+func (c *Cluster) RestartWorker(i int) error {
 	c.Workers[i].Close()
 	w, err := c.startWorker(i)
 	if err == nil {
@@ -102,7 +105,7 @@
 	return err
 }
 
-func (c *JobCluster) addCoordinator(i int) error {
+func (c *Cluster) addCoordinator(i int) error {
 	cfg := config.DefaultCoordinator()
 	cfg.Box.Name = fmt.Sprintf("coordinator-%d", i)
 	cfg.Peers.Listen = ports.Any
@@ -128,7 +131,7 @@
 }
 
 // StopCoordinator ends a coordinator: in order, or at once.
-func (c *JobCluster) StopCoordinator(i int, planned bool) {
+func (c *Cluster) StopCoordinator(i int, planned bool) {
 	if planned {
 		c.Coordinators[i].Drain()
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -141,7 +144,7 @@
 }
 
 // Close ends everything.
-func (c *JobCluster) Close() {
+func (c *Cluster) Close() {
 	for _, s := range c.servers {
 		s.Close()
 	}
@@ -158,4 +161,4 @@
 }
 
 // AddCoordinator starts one more.
-func (c *JobCluster) AddCoordinator() error { return c.addCoordinator(len(c.Coordinators)) }
+func (c *Cluster) AddCoordinator() error { return c.addCoordinator(len(c.Coordinators)) }
--- a/local/jobs_test.go
+++ b/jobs/local/cluster_test.go
@@ -6,29 +6,35 @@
 	"fmt"
 	"io"
 	"net/http"
+	"testing"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
 	"github.com/lichenfall/lichenfall/config"
-	"github.com/lichenfall/lichenfall/coordinator"
-	"github.com/lichenfall/lichenfall/local"
-	"github.com/lichenfall/lichenfall/logging"
+	"github.com/lichenfall/lichenfall/jobs/coordinator"
+	"github.com/lichenfall/lichenfall/jobs/local"
+	"github.com/lichenfall/lichenfall/lib/logging"
 )
 
 // patience is a bound that a slow machine does not reach.
 const patience = 60 * time.Second
 
-type jobSystem struct{ *local.JobCluster }
+func TestLocal(t *testing.T) {
+	RegisterFailHandler(Fail)
+	RunSpecs(t, "local")
+}
+
+type jobSystem struct{ *local.Cluster }
 
 func startJobs(work time.Duration) jobSystem {
-	return startSystem(local.JobOptions{Coordinators: 3, Workers: 4, Work: work})
+	return startSystem(local.Options{Coordinators: 3, Workers: 4, Work: work})
 }
 
-func startSystem(o local.JobOptions) jobSystem {
+func startSystem(o local.Options) jobSystem {
 	o.Log = logging.Discard()
-	c, err := local.StartJobs(o)
+	c, err := local.Start(o)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(c.Close)
 	return jobSystem{c}
@@ -181,7 +187,7 @@
 })
 
 var _ = Describe("coordinators that each use a few of the workers", func() {
-	few := local.JobOptions{Coordinators: 3, Workers: 6, Work: 300 * time.Millisecond, Subset: config.Subset{Size: 2, Coverage: 1}}
+	few := local.Options{Coordinators: 3, Workers: 6, Work: 300 * time.Millisecond, Subset: config.Subset{Size: 2, Coverage: 1}}
 
 	It("use all workers together", func() {
 		few := few
--- a/ownership/ownership.go
+++ b/jobs/ownership/ownership.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/lichenfall/lichenfall/store"
+	"github.com/lichenfall/lichenfall/jobs/store"
 )
 
 // Change says which partitions came and went.
--- a/ownership/ownership_test.go
+++ b/jobs/ownership/ownership_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/lichenfall/lichenfall/ownership"
-	"github.com/lichenfall/lichenfall/store"
+	"github.com/lichenfall/lichenfall/jobs/ownership"
+	"github.com/lichenfall/lichenfall/jobs/store"
 )
 
 func TestOwnership(t *testing.T) {
--- a/promises/backend_test.go
+++ b/jobs/promises/backend_test.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"time"
 
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/ordered"
-	"github.com/lichenfall/lichenfall/runtable"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/jobs/runtable"
+	"github.com/lichenfall/lichenfall/lib/ordered"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/promises/client_test.go
+++ b/jobs/promises/client_test.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"time"
 
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/scheduler"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/jobs/scheduler"
+	"github.com/lichenfall/lichenfall/lib/failure"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/promises/coordinator_test.go
+++ b/jobs/promises/coordinator_test.go
@@ -4,12 +4,12 @@
 	"fmt"
 	"time"
 
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/ordered"
-	"github.com/lichenfall/lichenfall/ownership"
-	"github.com/lichenfall/lichenfall/scheduler"
-	"github.com/lichenfall/lichenfall/store"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/jobs/ownership"
+	"github.com/lichenfall/lichenfall/jobs/scheduler"
+	"github.com/lichenfall/lichenfall/jobs/store"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/lib/ordered"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/promises/nodes_test.go
+++ b/jobs/promises/nodes_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"github.com/lichenfall/lichenfall/runtable"
-	"github.com/lichenfall/lichenfall/store"
+	"github.com/lichenfall/lichenfall/jobs/runtable"
+	"github.com/lichenfall/lichenfall/jobs/store"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/promises/random_test.go
+++ b/jobs/promises/random_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/ordered"
-	"github.com/lichenfall/lichenfall/scheduler"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/jobs/scheduler"
+	"github.com/lichenfall/lichenfall/lib/ordered"
 )
 
 // Cases and seed of the randomised runs; longer runs set the variables.
--- a/promises/worker_test.go
+++ b/jobs/promises/worker_test.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/lichenfall/lichenfall/ordered"
-	"github.com/lichenfall/lichenfall/runtable"
+	"github.com/lichenfall/lichenfall/jobs/runtable"
+	"github.com/lichenfall/lichenfall/lib/ordered"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/promises/world_test.go
+++ b/jobs/promises/world_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"github.com/lichenfall/lichenfall/config"
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/fakestore"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/jobs/fakestore"
 )
 
 // world is a system in virtual time.
--- a/queues/queues.go
+++ b/jobs/routing/routing.go
@@ -1,11 +1,11 @@
 // Package queues holds the operators' configuration of queues, and finds the
 // queue of a caller's request. It does no I/O.
-package queues
+package routing
 
 import (
 	"strings"
 
-	"github.com/lichenfall/lichenfall/durable"
+	"github.com/lichenfall/lichenfall/jobs/durable"
 )
 
 // Rule sends requests to a queue.
--- a/queues/queues_test.go
+++ b/jobs/routing/routing_test.go
@@ -1,4 +1,4 @@
-package queues_test
+package routing_test
 
 import (
 	"testing"
@@ -6,17 +6,17 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/queues"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/jobs/routing"
 )
 
-func TestQueues(t *testing.T) {
+func TestRouting(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "queues")
+	RunSpecs(t, "routing")
 }
 
 var _ = Describe("the queue of a request", func() {
-	cfg := &queues.Configuration{Rules: []queues.Rule{
+	cfg := &routing.Configuration{Rules: []routing.Rule{
 		{Host: "a.example", Prefix: "/one/", Queue: durable.Queue{Name: "one"}},
 		{Host: "a.example", Prefix: "/one/two/", Queue: durable.Queue{Name: "two"}},
 		{Host: "b.example", Prefix: "/one/", Queue: durable.Queue{Name: "other"}},
--- a/runtable/adopted_test.go
+++ b/jobs/runtable/adopted_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/runtable"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/jobs/runtable"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/runtable/bench_test.go
+++ b/jobs/runtable/bench_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/lichenfall/lichenfall/config"
-	"github.com/lichenfall/lichenfall/runtable"
+	"github.com/lichenfall/lichenfall/jobs/runtable"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/runtable/runtable_test.go
+++ b/jobs/runtable/runtable_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/lichenfall/lichenfall/config"
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/runtable"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/jobs/runtable"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/runtable/status.go
+++ b/jobs/runtable/status.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/lichenfall/lichenfall/ordered"
+	"github.com/lichenfall/lichenfall/lib/ordered"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/runtable/table.go
+++ b/jobs/runtable/table.go
@@ -13,8 +13,8 @@
 	"slices"
 	"time"
 
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/ordered"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/lib/ordered"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/scheduler/admission.go
+++ b/jobs/scheduler/admission.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/lichenfall/lichenfall/durable"
+	"github.com/lichenfall/lichenfall/jobs/durable"
 )
 
 // admitShare is the share of its slack that a job may be thought to wait.
--- a/scheduler/bench_test.go
+++ b/jobs/scheduler/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/lichenfall/lichenfall/config"
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/scheduler"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/jobs/scheduler"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/scheduler/besteffort.go
+++ b/jobs/scheduler/besteffort.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/ordered"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/lib/ordered"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/scheduler/core.go
+++ b/jobs/scheduler/core.go
@@ -12,9 +12,9 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/ordered"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/lib/ordered"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/scheduler/dispatch.go
+++ b/jobs/scheduler/dispatch.go
@@ -4,7 +4,7 @@
 	"container/heap"
 	"time"
 
-	"github.com/lichenfall/lichenfall/ordered"
+	"github.com/lichenfall/lichenfall/lib/ordered"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/scheduler/ends.go
+++ b/jobs/scheduler/ends.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/lichenfall/lichenfall/durable"
+	"github.com/lichenfall/lichenfall/jobs/durable"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/scheduler/job.go
+++ b/jobs/scheduler/job.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/lichenfall/lichenfall/durable"
+	"github.com/lichenfall/lichenfall/jobs/durable"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/scheduler/partition.go
+++ b/jobs/scheduler/partition.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/ordered"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/lib/ordered"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/scheduler/placement.go
+++ b/jobs/scheduler/placement.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/lichenfall/lichenfall/durable"
+	"github.com/lichenfall/lichenfall/jobs/durable"
 )
 
 // candidate is a worker with what is free there, as far as we know.
--- a/scheduler/scheduler_test.go
+++ b/jobs/scheduler/scheduler_test.go
@@ -9,9 +9,9 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/lichenfall/lichenfall/config"
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/scheduler"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/jobs/scheduler"
+	"github.com/lichenfall/lichenfall/lib/failure"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/scheduler/worker.go
+++ b/jobs/scheduler/worker.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/lichenfall/lichenfall/ordered"
+	"github.com/lichenfall/lichenfall/lib/ordered"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/store/appending_test.go
+++ b/jobs/store/appending_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/lichenfall/lichenfall/store"
+	"github.com/lichenfall/lichenfall/jobs/store"
 )
 
 func TestStore(t *testing.T) {
--- a/store/store.go
+++ b/jobs/store/store.go
@@ -10,8 +10,8 @@
 
 	"github.com/zeebo/errs"
 
-	"github.com/lichenfall/lichenfall/durable"
-	"github.com/lichenfall/lichenfall/queues"
+	"github.com/lichenfall/lichenfall/jobs/durable"
+	"github.com/lichenfall/lichenfall/jobs/routing"
 )
 
 // The ways in which a call fails. Any other error means that the call may or
@@ -89,5 +89,5 @@
 	Members(ctx context.Context, f func(joined []Member))
 	// Configurations calls f with each configuration that is put in force, first
 	// with the newest, until ctx ends.
-	Configurations(ctx context.Context, f func(*queues.Configuration))
+	Configurations(ctx context.Context, f func(*routing.Configuration))
 }
--- a/membership/subset.go
+++ b/jobs/subset/subset.go
@@ -1,4 +1,8 @@
-package membership
+// Package subset is the core that decides which workers a coordinator keeps
+// connections to. It owns nothing: the choice follows from the addresses alone,
+// so that all coordinators divide the workers alike without asking each other.
+// It does no I/O.
+package subset
 
 import (
 	"cmp"
@@ -8,20 +12,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// SubsetWorker is a worker that a coordinator may keep a connection to.
-type SubsetWorker struct {
+// Worker is a worker that a coordinator may keep a connection to.
+type Worker struct {
 	Address string
 	Service string // of its backend server; empty while it is not known
 	Lost    bool   // it cannot be reached at present
 }
 
-// SubsetSettings bound how many workers one coordinator keeps connections to.
-type SubsetSettings struct {
+// Settings bound how many workers one coordinator keeps connections to.
+type Settings struct {
 	Size     int // workers of each service; all of them where there are no more
 	Coverage int // coordinators that each worker should have at least
 }
 
-// Subset returns the addresses of the workers that one of the coordinators, self,
+// Choose returns the addresses of the workers that one of the coordinators, self,
 // keeps connections to, and of each whether it is one of its home workers. The
 // workers of a service form a ring in the order of the hashes of their
 // addresses; the coordinators divide it evenly, and each takes the workers from
@@ -29,7 +33,7 @@
 // are taken beside those that count. So the connections of one process do not
 // grow with all processes, and no worker is left out as long as the coordinators
 // know of each other.
-func Subset(cfg SubsetSettings, self string, coordinators []string, workers []SubsetWorker) (chosen map[string]bool) {
+func Choose(cfg Settings, self string, coordinators []string, workers []Worker) (chosen map[string]bool) {
 	place, count := placeOf(self, coordinators)
 	chosen = make(map[string]bool)
 	for _, ring := range rings(workers) {
@@ -49,7 +53,7 @@
 
 // Sharers returns how many of so many coordinators keep a connection to one of
 // so many workers of a service, on the average.
-func (s SubsetSettings) Sharers(workers, coordinators int) float64 {
+func (s Settings) Sharers(workers, coordinators int) float64 {
 	if workers == 0 {
 		return float64(coordinators)
 	}
@@ -58,7 +62,7 @@
 }
 
 // sizeFor returns how many workers of a service each coordinator takes.
-func (s SubsetSettings) sizeFor(workers, coordinators int) int {
+func (s Settings) sizeFor(workers, coordinators int) int {
 	covering := math.Ceil(float64(s.Coverage) * float64(workers) / float64(coordinators))
 	return max(s.Size, int(covering))
 }
@@ -75,13 +79,13 @@
 }
 
 // rings returns the workers of each service in the order of their ring.
-func rings(workers []SubsetWorker) map[string][]SubsetWorker {
-	byService := make(map[string][]SubsetWorker)
+func rings(workers []Worker) map[string][]Worker {
+	byService := make(map[string][]Worker)
 	for _, w := range workers {
 		byService[w.Service] = append(byService[w.Service], w)
 	}
 	for _, ring := range byService {
-		slices.SortFunc(ring, func(a, b SubsetWorker) int { return compareHashes(a.Address, b.Address) })
+		slices.SortFunc(ring, func(a, b Worker) int { return compareHashes(a.Address, b.Address) })
 	}
 	return byService
 }
--- a/membership/subset_test.go
+++ b/jobs/subset/subset_test.go
@@ -1,14 +1,20 @@
-package membership_test
+package subset_test
 
 import (
 	"fmt"
+	"testing"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/lichenfall/lichenfall/membership"
+	"github.com/lichenfall/lichenfall/jobs/subset"
 )
 
+func TestSubset(t *testing.T) {
+	RegisterFailHandler(Fail)
+	RunSpecs(t, "subset")
+}
+
 func addresses(prefix string, n int) []string {
 	var out []string
 	for i := range n {
@@ -17,20 +23,20 @@
 	return out
 }
 
-func workersAt(addresses []string, service string) []membership.SubsetWorker {
-	var out []membership.SubsetWorker
+func workersAt(addresses []string, service string) []subset.Worker {
+	var out []subset.Worker
 	for _, a := range addresses {
-		out = append(out, membership.SubsetWorker{Address: a, Service: service})
+		out = append(out, subset.Worker{Address: a, Service: service})
 	}
 	return out
 }
 
 var _ = Describe("a subset of workers", func() {
-	cfg := membership.SubsetSettings{Size: 48, Coverage: 4}
+	cfg := subset.Settings{Size: 48, Coverage: 4}
 
 	It("is all of them where they are few", func() {
 		workers := workersAt(addresses("w", 11), "s")
-		chosen := membership.Subset(cfg, "c0:1", addresses("c", 3), workers)
+		chosen := subset.Choose(cfg, "c0:1", addresses("c", 3), workers)
 		Expect(chosen).To(HaveLen(11))
 		Expect(cfg.Sharers(11, 3)).To(Equal(3.0))
 	})
@@ -40,7 +46,7 @@
 		workers := workersAt(addresses("w", 960), "s")
 		covered, homes := make(map[string]int), make(map[string]int)
 		for _, self := range coordinators {
-			chosen := membership.Subset(cfg, self, coordinators, workers)
+			chosen := subset.Choose(cfg, self, coordinators, workers)
 			Expect(chosen).To(HaveLen(48))
 			for a, home := range chosen {
 				covered[a]++
@@ -61,18 +67,18 @@
 	It("grows where coordinators are too few to cover all workers", func() {
 		coordinators := addresses("c", 10)
 		workers := workersAt(addresses("w", 960), "s")
-		Expect(membership.Subset(cfg, "c3:1", coordinators, workers)).To(HaveLen(384))
+		Expect(subset.Choose(cfg, "c3:1", coordinators, workers)).To(HaveLen(384))
 	})
 
 	It("takes others beside those that are lost", func() {
 		coordinators := addresses("c", 20)
 		workers := workersAt(addresses("w", 200), "s")
-		before := membership.Subset(cfg, "c3:1", coordinators, workers)
+		before := subset.Choose(cfg, "c3:1", coordinators, workers)
 		for i := range workers {
 			_, taken := before[workers[i].Address]
 			workers[i].Lost = taken && i%2 == 0
 		}
-		after := membership.Subset(cfg, "c3:1", coordinators, workers)
+		after := subset.Choose(cfg, "c3:1", coordinators, workers)
 		reachable := 0
 		for _, w := range workers {
 			if _, taken := after[w.Address]; taken && !w.Lost {
@@ -87,7 +93,7 @@
 
 	It("is drawn for each service apart", func() {
 		workers := append(workersAt(addresses("w", 100), "s"), workersAt(addresses("v", 5), "t")...)
-		chosen := membership.Subset(cfg, "c0:1", addresses("c", 30), workers)
+		chosen := subset.Choose(cfg, "c0:1", addresses("c", 30), workers)
 		Expect(chosen).To(HaveLen(53))
 	})
 })
--- a/worker/control.go
+++ b/jobs/worker/control.go
@@ -6,10 +6,10 @@
 
 	"go.uber.org/zap"
 
-	"github.com/lichenfall/lichenfall/loop"
-	"github.com/lichenfall/lichenfall/peer"
-	"github.com/lichenfall/lichenfall/runtable"
-	"github.com/lichenfall/lichenfall/store"
+	"github.com/lichenfall/lichenfall/jobs/runtable"
+	"github.com/lichenfall/lichenfall/jobs/store"
+	"github.com/lichenfall/lichenfall/lib/loop"
+	"github.com/lichenfall/lichenfall/lib/peer"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/worker/worker.go
+++ b/jobs/worker/worker.go
@@ -13,12 +13,12 @@
 	"go.uber.org/zap"
 
 	"github.com/lichenfall/lichenfall/config"
-	"github.com/lichenfall/lichenfall/logging"
-	"github.com/lichenfall/lichenfall/loop"
+	"github.com/lichenfall/lichenfall/jobs/runtable"
+	"github.com/lichenfall/lichenfall/jobs/store"
+	"github.com/lichenfall/lichenfall/lib/logging"
+	"github.com/lichenfall/lichenfall/lib/loop"
+	"github.com/lichenfall/lichenfall/lib/peer"
 	"github.com/lichenfall/lichenfall/metrics"
-	"github.com/lichenfall/lichenfall/peer"
-	"github.com/lichenfall/lichenfall/runtable"
-	"github.com/lichenfall/lichenfall/store"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/layout_test.go
+++ b/layout_test.go
@@ -17,28 +17,41 @@
 // cores are the packages without I/O, and the packages of ours that each may
 // import; see docs/ARCHITECTURE.md.
 var cores = map[string][]string{
-	"failure":    {},
-	"retry":      {},
-	"wire":       {"durable"},
-	"claim":      {"wire"},
-	"job":        {"claim", "failure"},
-	"placement":  {"wire"},
-	"queue":      {"failure", "wire"},
-	"membership": {},
-	"dispatch":   {"claim", "failure", "job", "placement", "retry", "wire"},
-	"durable":    {},
-	"ordered":    {},
-	"queues":     {"durable"},
-	"store":      {"durable", "queues"},
-	"ownership":  {"store"},
-	"runtable":   {"durable", "ordered", "wire"},
-	"scheduler":  {"durable", "failure", "ordered", "wire"},
+	"lib/failure": {},
+	"lib/ordered": {},
+	"lib/retry":   {},
+	"wire":        {"jobs/durable"},
+
+	"jobs/durable":   {},
+	"jobs/routing":   {"jobs/durable"},
+	"jobs/store":     {"jobs/durable", "jobs/routing"},
+	"jobs/ownership": {"jobs/store"},
+	"jobs/subset":    {},
+	"jobs/runtable":  {"jobs/durable", "lib/ordered", "wire"},
+	"jobs/scheduler": {"jobs/durable", "lib/failure", "lib/ordered", "wire"},
+
+	"submissions/claim":      {"wire"},
+	"submissions/job":        {"submissions/claim", "lib/failure"},
+	"submissions/placement":  {"wire"},
+	"submissions/queue":      {"lib/failure", "wire"},
+	"submissions/membership": {},
+	"submissions/dispatch":   {"submissions/claim", "lib/failure", "submissions/job", "submissions/placement", "lib/retry", "wire"},
+}
+
+// groups are the folders of packages that belong together, and the packages and
+// groups that those in each may import. What both systems share stands in lib, or
+// knows the packages of both: config, metrics and wire.
+var groups = map[string][]string{
+	"lib":         {"lib", "wire"},
+	"jobs":        {"jobs", "lib", "wire", "config", "metrics"},
+	"submissions": {"submissions", "lib", "wire", "config", "metrics"},
+	"platform":    {"jobs", "lib", "wire"},
 }
 
 var ioPackages = []string{"net", "os", "os/exec", "os/signal", "io/fs", "syscall", "net/netip"}
 
 // users of the stand-ins and of whole local systems.
-var mayUseFakes = []string{"local", "commands", "fakestore"}
+var mayUseFakes = []string{"jobs/local", "submissions/local", "commands"}
 
 func TestLayout(t *testing.T) {
 	walk(t, func(file, pkg string, imports []string) {
@@ -52,13 +65,25 @@
 				t.Errorf("%s: core %s does I/O by %s", file, pkg, path)
 			case path == "os/exec":
 				t.Errorf("%s: starts processes", file)
-			case strings.HasPrefix(ours, "fake") && isOurs && !slices.Contains(mayUseFakes, pkg):
+			case isOurs && !mayImport(pkg, ours):
+				t.Errorf("%s: %s may not import %s", file, pkg, ours)
+			case isOurs && strings.HasPrefix(path[strings.LastIndex(path, "/")+1:], "fake") && !slices.Contains(mayUseFakes, pkg):
 				t.Errorf("%s: uses a stand-in", file)
 			}
 		}
 	})
 }
 
+// mayImport returns whether the group of the package may import the other one.
+func mayImport(pkg, other string) bool {
+	group, _, _ := strings.Cut(pkg, "/")
+	allowed, grouped := groups[group]
+	if !grouped {
+		return true
+	}
+	return slices.ContainsFunc(allowed, func(a string) bool { return other == a || strings.HasPrefix(other, a+"/") })
+}
+
 // platformNames are names that only the users' platform has.
 var platformNames = []string{
 	"log-append", "log-read", "log-newest", "log-join", "log-leave", "private-key", "seq-no",
--- a/failure/failure_test.go
+++ b/lib/failure/failure_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/lichenfall/lichenfall/failure"
+	"github.com/lichenfall/lichenfall/lib/failure"
 )
 
 func TestFailure(t *testing.T) {
--- a/loop/loop_test.go
+++ b/lib/loop/loop_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/lichenfall/lichenfall/loop"
+	"github.com/lichenfall/lichenfall/lib/loop"
 )
 
 func TestLoop(t *testing.T) {
--- a/peer/link.go
+++ b/lib/peer/link.go
@@ -6,8 +6,8 @@
 	"net"
 	"time"
 
-	"github.com/lichenfall/lichenfall/loop"
-	"github.com/lichenfall/lichenfall/retry"
+	"github.com/lichenfall/lichenfall/lib/loop"
+	"github.com/lichenfall/lichenfall/lib/retry"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/peer/peer_test.go
+++ b/lib/peer/peer_test.go
@@ -10,8 +10,8 @@
 	. "github.com/onsi/gomega"
 	"go.uber.org/goleak"
 
-	"github.com/lichenfall/lichenfall/peer"
-	"github.com/lichenfall/lichenfall/ports"
+	"github.com/lichenfall/lichenfall/lib/peer"
+	"github.com/lichenfall/lichenfall/lib/ports"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/retry/retry_test.go
+++ b/lib/retry/retry_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/lichenfall/lichenfall/retry"
+	"github.com/lichenfall/lichenfall/lib/retry"
 )
 
 func TestRetry(t *testing.T) {
--- a/web/call.go
+++ b/lib/web/call.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"github.com/lichenfall/lichenfall/failure"
+	"github.com/lichenfall/lichenfall/lib/failure"
 )
 
 // ReadBody reads the body of a request, of at most so many bytes. Its errors are
--- a/metrics/agent.go
+++ b/metrics/agent.go
@@ -5,9 +5,9 @@
 
 	"github.com/uber-go/tally/v4"
 
-	"github.com/lichenfall/lichenfall/claim"
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/queue"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/submissions/claim"
+	"github.com/lichenfall/lichenfall/submissions/queue"
 )
 
 // Agent counts what an agent does.
--- a/metrics/dispatch.go
+++ b/metrics/dispatch.go
@@ -5,9 +5,9 @@
 
 	"github.com/uber-go/tally/v4"
 
-	"github.com/lichenfall/lichenfall/claim"
-	"github.com/lichenfall/lichenfall/dispatch"
-	"github.com/lichenfall/lichenfall/failure"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/submissions/claim"
+	"github.com/lichenfall/lichenfall/submissions/dispatch"
 )
 
 // Dispatch counts what an entry decides. It is a dispatch.Counter.
--- a/metrics/golden_test.go
+++ b/metrics/golden_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"github.com/lichenfall/lichenfall/golden"
+	"github.com/lichenfall/lichenfall/lib/golden"
 	"github.com/lichenfall/lichenfall/metrics"
 )
 
--- a/metrics/jobs.go
+++ b/metrics/jobs.go
@@ -6,7 +6,7 @@
 
 	"github.com/uber-go/tally/v4"
 
-	"github.com/lichenfall/lichenfall/failure"
+	"github.com/lichenfall/lichenfall/lib/failure"
 )
 
 // Jobs counts what coordinators and workers of kept jobs do. It is a
--- a/metrics/peers.go
+++ b/metrics/peers.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/uber-go/tally/v4"
 
-	"github.com/lichenfall/lichenfall/peer"
+	"github.com/lichenfall/lichenfall/lib/peer"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/agent/admin.go
+++ b/submissions/agent/admin.go
@@ -6,9 +6,9 @@
 
 	"github.com/labstack/echo/v4"
 
-	"github.com/lichenfall/lichenfall/backend"
-	"github.com/lichenfall/lichenfall/loop"
-	"github.com/lichenfall/lichenfall/web"
+	"github.com/lichenfall/lichenfall/lib/loop"
+	"github.com/lichenfall/lichenfall/lib/web"
+	"github.com/lichenfall/lichenfall/submissions/backend"
 )
 
 // State is what an agent says of itself to operators.
--- a/agent/agent.go
+++ b/submissions/agent/agent.go
@@ -10,14 +10,14 @@
 	"github.com/google/uuid"
 	"go.uber.org/zap"
 
-	"github.com/lichenfall/lichenfall/backend"
-	"github.com/lichenfall/lichenfall/claim"
 	"github.com/lichenfall/lichenfall/config"
-	"github.com/lichenfall/lichenfall/logging"
-	"github.com/lichenfall/lichenfall/loop"
+	"github.com/lichenfall/lichenfall/lib/logging"
+	"github.com/lichenfall/lichenfall/lib/loop"
+	"github.com/lichenfall/lichenfall/lib/peer"
 	"github.com/lichenfall/lichenfall/metrics"
-	"github.com/lichenfall/lichenfall/peer"
-	"github.com/lichenfall/lichenfall/queue"
+	"github.com/lichenfall/lichenfall/submissions/backend"
+	"github.com/lichenfall/lichenfall/submissions/claim"
+	"github.com/lichenfall/lichenfall/submissions/queue"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/agent/control.go
+++ b/submissions/agent/control.go
@@ -6,11 +6,11 @@
 
 	"go.uber.org/zap"
 
-	"github.com/lichenfall/lichenfall/backend"
-	"github.com/lichenfall/lichenfall/claim"
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/peer"
-	"github.com/lichenfall/lichenfall/queue"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/lib/peer"
+	"github.com/lichenfall/lichenfall/submissions/backend"
+	"github.com/lichenfall/lichenfall/submissions/claim"
+	"github.com/lichenfall/lichenfall/submissions/queue"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/backend/client.go
+++ b/submissions/backend/client.go
@@ -19,8 +19,8 @@
 
 	"github.com/zeebo/errs"
 
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/queue"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/submissions/queue"
 )
 
 // The headers of a task's request. None of them makes Go's HTTP client take
--- a/backend/client_test.go
+++ b/submissions/backend/client_test.go
@@ -14,10 +14,10 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/lichenfall/lichenfall/backend"
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/ports"
-	"github.com/lichenfall/lichenfall/queue"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/lib/ports"
+	"github.com/lichenfall/lichenfall/submissions/backend"
+	"github.com/lichenfall/lichenfall/submissions/queue"
 )
 
 func TestBackend(t *testing.T) {
--- a/logservice/client.go
+++ b/submissions/boxlist/client.go
@@ -1,5 +1,7 @@
-// Package logservice speaks to the log service: its list of boxes.
-package logservice
+// Package boxlist is the client of the service that lists the boxes. It owns a
+// few idle connections, and relies on the list's version to tell whether there is
+// anything new.
+package boxlist
 
 import (
 	"context"
@@ -11,7 +13,7 @@
 
 	"github.com/zeebo/errs"
 
-	"github.com/lichenfall/lichenfall/membership"
+	"github.com/lichenfall/lichenfall/submissions/membership"
 )
 
 const maxReply = 32 << 20
--- a/claim/bench_test.go
+++ b/submissions/claim/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/lichenfall/lichenfall/claim"
+	"github.com/lichenfall/lichenfall/submissions/claim"
 )
 
 func BenchmarkClaim(b *testing.B) {
--- a/client/client.go
+++ b/submissions/client/client.go
@@ -12,7 +12,7 @@
 	"github.com/google/uuid"
 	"github.com/zeebo/errs"
 
-	"github.com/lichenfall/lichenfall/job"
+	"github.com/lichenfall/lichenfall/submissions/job"
 )
 
 // NewID returns a submission ID made now.
--- a/dispatch/bench_test.go
+++ b/submissions/dispatch/bench_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"github.com/lichenfall/lichenfall/claim"
-	"github.com/lichenfall/lichenfall/dispatch"
-	"github.com/lichenfall/lichenfall/job"
-	"github.com/lichenfall/lichenfall/placement"
+	"github.com/lichenfall/lichenfall/submissions/claim"
+	"github.com/lichenfall/lichenfall/submissions/dispatch"
+	"github.com/lichenfall/lichenfall/submissions/job"
+	"github.com/lichenfall/lichenfall/submissions/placement"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/dispatch/claims.go
+++ b/submissions/dispatch/claims.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"github.com/lichenfall/lichenfall/claim"
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/job"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/submissions/claim"
+	"github.com/lichenfall/lichenfall/submissions/job"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/dispatch/core.go
+++ b/submissions/dispatch/core.go
@@ -12,11 +12,11 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/lichenfall/lichenfall/claim"
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/job"
-	"github.com/lichenfall/lichenfall/placement"
-	"github.com/lichenfall/lichenfall/retry"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/lib/retry"
+	"github.com/lichenfall/lichenfall/submissions/claim"
+	"github.com/lichenfall/lichenfall/submissions/job"
+	"github.com/lichenfall/lichenfall/submissions/placement"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/dispatch/dispatch_test.go
+++ b/submissions/dispatch/dispatch_test.go
@@ -10,11 +10,11 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/lichenfall/lichenfall/claim"
-	"github.com/lichenfall/lichenfall/dispatch"
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/job"
-	"github.com/lichenfall/lichenfall/retry"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/lib/retry"
+	"github.com/lichenfall/lichenfall/submissions/claim"
+	"github.com/lichenfall/lichenfall/submissions/dispatch"
+	"github.com/lichenfall/lichenfall/submissions/job"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/dispatch/lookup.go
+++ b/submissions/dispatch/lookup.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/lichenfall/lichenfall/claim"
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/job"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/submissions/claim"
+	"github.com/lichenfall/lichenfall/submissions/job"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/dispatch/peers.go
+++ b/submissions/dispatch/peers.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/placement"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/submissions/placement"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/dispatch/place.go
+++ b/submissions/dispatch/place.go
@@ -5,8 +5,8 @@
 	"sort"
 	"time"
 
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/job"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/submissions/job"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/dispatch/random_test.go
+++ b/submissions/dispatch/random_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/lichenfall/lichenfall/job"
+	"github.com/lichenfall/lichenfall/submissions/job"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/dispatch/record.go
+++ b/submissions/dispatch/record.go
@@ -4,8 +4,8 @@
 	"container/list"
 	"time"
 
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/job"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/submissions/job"
 )
 
 // phase is where a submission stands at this entry.
--- a/dispatch/submit.go
+++ b/submissions/dispatch/submit.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/job"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/submissions/job"
 )
 
 // Submit takes a submission from a caller, who gets an answer in time.
--- a/dispatch/world_test.go
+++ b/submissions/dispatch/world_test.go
@@ -9,12 +9,12 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/lichenfall/lichenfall/claim"
-	"github.com/lichenfall/lichenfall/dispatch"
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/job"
-	"github.com/lichenfall/lichenfall/queue"
-	"github.com/lichenfall/lichenfall/retry"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/lib/retry"
+	"github.com/lichenfall/lichenfall/submissions/claim"
+	"github.com/lichenfall/lichenfall/submissions/dispatch"
+	"github.com/lichenfall/lichenfall/submissions/job"
+	"github.com/lichenfall/lichenfall/submissions/queue"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/entry/api.go
+++ b/submissions/entry/api.go
@@ -8,10 +8,10 @@
 
 	"github.com/labstack/echo/v4"
 
-	"github.com/lichenfall/lichenfall/claim"
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/job"
-	"github.com/lichenfall/lichenfall/web"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/lib/web"
+	"github.com/lichenfall/lichenfall/submissions/claim"
+	"github.com/lichenfall/lichenfall/submissions/job"
 )
 
 func (e *Entry) routes() http.Handler {
--- a/entry/control.go
+++ b/submissions/entry/control.go
@@ -5,9 +5,9 @@
 
 	"go.uber.org/zap"
 
-	"github.com/lichenfall/lichenfall/job"
-	"github.com/lichenfall/lichenfall/membership"
-	"github.com/lichenfall/lichenfall/peer"
+	"github.com/lichenfall/lichenfall/lib/peer"
+	"github.com/lichenfall/lichenfall/submissions/job"
+	"github.com/lichenfall/lichenfall/submissions/membership"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/entry/entry.go
+++ b/submissions/entry/entry.go
@@ -12,19 +12,19 @@
 	"github.com/google/uuid"
 	"go.uber.org/zap"
 
-	"github.com/lichenfall/lichenfall/claim"
 	"github.com/lichenfall/lichenfall/config"
-	"github.com/lichenfall/lichenfall/dispatch"
-	"github.com/lichenfall/lichenfall/job"
-	"github.com/lichenfall/lichenfall/logging"
-	"github.com/lichenfall/lichenfall/logservice"
-	"github.com/lichenfall/lichenfall/loop"
-	"github.com/lichenfall/lichenfall/membership"
+	"github.com/lichenfall/lichenfall/lib/logging"
+	"github.com/lichenfall/lichenfall/lib/loop"
+	"github.com/lichenfall/lichenfall/lib/peer"
+	"github.com/lichenfall/lichenfall/lib/retry"
+	"github.com/lichenfall/lichenfall/lib/web"
 	"github.com/lichenfall/lichenfall/metrics"
-	"github.com/lichenfall/lichenfall/peer"
-	"github.com/lichenfall/lichenfall/placement"
-	"github.com/lichenfall/lichenfall/retry"
-	"github.com/lichenfall/lichenfall/web"
+	"github.com/lichenfall/lichenfall/submissions/boxlist"
+	"github.com/lichenfall/lichenfall/submissions/claim"
+	"github.com/lichenfall/lichenfall/submissions/dispatch"
+	"github.com/lichenfall/lichenfall/submissions/job"
+	"github.com/lichenfall/lichenfall/submissions/membership"
+	"github.com/lichenfall/lichenfall/submissions/placement"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
@@ -46,7 +46,7 @@
 	peerOpts    peer.Options
 	listener    *peer.Listener
 	http        *web.Server
-	platform    *logservice.Client // nil when the settings name none
+	platform    *boxlist.Client // nil when the settings name none
 	loop        *loop.Loop[event]
 	halt        context.Context // ends with Kill
 	kill        context.CancelFunc
@@ -87,7 +87,7 @@
 		e.dial(agent)
 	}
 	if cfg.Platform.URL != "" {
-		e.platform = logservice.New(cfg.Platform.URL, cfg.Platform.Limit.D())
+		e.platform = boxlist.New(cfg.Platform.URL, cfg.Platform.Limit.D())
 		go e.pollBoxes()
 	}
 	e.listener.Serve(e.hello, inbound{e})
--- a/entry/golden_test.go
+++ b/submissions/entry/golden_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/labstack/echo/v4"
 
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/golden"
-	"github.com/lichenfall/lichenfall/job"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/lib/golden"
+	"github.com/lichenfall/lichenfall/submissions/job"
 )
 
 // TestAnswersByFailure holds the HTTP answer to each kind of failure.
--- a/entry/ids.go
+++ b/submissions/entry/ids.go
@@ -8,9 +8,9 @@
 	"github.com/google/uuid"
 	"github.com/labstack/echo/v4"
 
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/job"
-	"github.com/lichenfall/lichenfall/loop"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/lib/loop"
+	"github.com/lichenfall/lichenfall/submissions/job"
 )
 
 // IDs is the answer to a request for submission IDs.
--- a/entry/state.go
+++ b/submissions/entry/state.go
@@ -4,8 +4,8 @@
 	"sort"
 	"strings"
 
-	"github.com/lichenfall/lichenfall/loop"
-	"github.com/lichenfall/lichenfall/placement"
+	"github.com/lichenfall/lichenfall/lib/loop"
+	"github.com/lichenfall/lichenfall/submissions/placement"
 )
 
 // State is what an entry says of itself to operators.
--- a/fakebackend/backend.go
+++ b/submissions/fakebackend/backend.go
@@ -15,8 +15,8 @@
 
 	"github.com/labstack/echo/v4"
 
-	"github.com/lichenfall/lichenfall/backend"
-	"github.com/lichenfall/lichenfall/web"
+	"github.com/lichenfall/lichenfall/lib/web"
+	"github.com/lichenfall/lichenfall/submissions/backend"
 )
 
 // Payload is what the stand-in looks for in a task's payload; a payload of any
--- a/fakeplatform/platform.go
+++ b/submissions/fakeplatform/platform.go
@@ -11,15 +11,15 @@
 
 	"github.com/labstack/echo/v4"
 
-	"github.com/lichenfall/lichenfall/membership"
-	"github.com/lichenfall/lichenfall/web"
+	"github.com/lichenfall/lichenfall/lib/web"
+	"github.com/lichenfall/lichenfall/submissions/membership"
 )
 
 // Faults is how the stand-in misbehaves.
 type Faults struct {
-	Outage     bool    `json:"outage"`      // every call but admin's fails
-	DelayMS    float64 `json:"delay_ms"`    // added to every answer
-	ListLagMS  float64 `json:"list_lag_ms"` // before a change of the box list shows
+	Outage    bool    `json:"outage"`      // every call but admin's fails
+	DelayMS   float64 `json:"delay_ms"`    // added to every answer
+	ListLagMS float64 `json:"list_lag_ms"` // before a change of the box list shows
 }
 
 // Platform is a running stand-in.
--- a/job/answer.go
+++ b/submissions/job/answer.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"github.com/lichenfall/lichenfall/failure"
+	"github.com/lichenfall/lichenfall/lib/failure"
 )
 
 // State is the state of a submission as the caller sees it.
--- a/job/decode.go
+++ b/submissions/job/decode.go
@@ -7,7 +7,7 @@
 	"io"
 	"strings"
 
-	"github.com/lichenfall/lichenfall/failure"
+	"github.com/lichenfall/lichenfall/lib/failure"
 )
 
 // Decode reads the JSON text of a submission, strictly.
--- a/job/job.go
+++ b/submissions/job/job.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"slices"
 
-	"github.com/lichenfall/lichenfall/failure"
+	"github.com/lichenfall/lichenfall/lib/failure"
 )
 
 // TaskState is where a task stands at the entry.
--- a/job/job_test.go
+++ b/submissions/job/job_test.go
@@ -10,8 +10,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/job"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/submissions/job"
 )
 
 func TestJob(t *testing.T) {
--- a/job/submission.go
+++ b/submissions/job/submission.go
@@ -9,8 +9,8 @@
 	"fmt"
 	"time"
 
-	"github.com/lichenfall/lichenfall/claim"
-	"github.com/lichenfall/lichenfall/failure"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/submissions/claim"
 )
 
 // Request is the JSON body of a submission.
--- a/load/load_test.go
+++ b/submissions/load/load_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/lichenfall/lichenfall/load"
+	"github.com/lichenfall/lichenfall/submissions/load"
 )
 
 func TestLoad(t *testing.T) {
--- a/load/report.go
+++ b/submissions/load/report.go
@@ -10,8 +10,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/job"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/submissions/job"
 )
 
 // The range of the histograms, in microseconds, and their precision.
--- a/load/run.go
+++ b/submissions/load/run.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"github.com/lichenfall/lichenfall/client"
-	"github.com/lichenfall/lichenfall/job"
+	"github.com/lichenfall/lichenfall/submissions/client"
+	"github.com/lichenfall/lichenfall/submissions/job"
 )
 
 // Plan is what to submit.
--- a/local/cluster.go
+++ b/submissions/local/cluster.go
@@ -8,14 +8,14 @@
 	"fmt"
 	"time"
 
-	"github.com/lichenfall/lichenfall/agent"
 	"github.com/lichenfall/lichenfall/config"
-	"github.com/lichenfall/lichenfall/entry"
-	"github.com/lichenfall/lichenfall/fakebackend"
-	"github.com/lichenfall/lichenfall/fakeplatform"
-	"github.com/lichenfall/lichenfall/logging"
-	"github.com/lichenfall/lichenfall/membership"
-	"github.com/lichenfall/lichenfall/ports"
+	"github.com/lichenfall/lichenfall/lib/logging"
+	"github.com/lichenfall/lichenfall/lib/ports"
+	"github.com/lichenfall/lichenfall/submissions/agent"
+	"github.com/lichenfall/lichenfall/submissions/entry"
+	"github.com/lichenfall/lichenfall/submissions/fakebackend"
+	"github.com/lichenfall/lichenfall/submissions/fakeplatform"
+	"github.com/lichenfall/lichenfall/submissions/membership"
 )
 
 // Options says what to run.
--- a/local/local_test.go
+++ b/submissions/local/local_test.go
@@ -15,14 +15,14 @@
 	. "github.com/onsi/gomega"
 	"go.uber.org/goleak"
 
-	"github.com/lichenfall/lichenfall/client"
 	"github.com/lichenfall/lichenfall/config"
-	"github.com/lichenfall/lichenfall/fakebackend"
-	"github.com/lichenfall/lichenfall/fakeplatform"
-	"github.com/lichenfall/lichenfall/job"
-	"github.com/lichenfall/lichenfall/local"
-	"github.com/lichenfall/lichenfall/logging"
-	"github.com/lichenfall/lichenfall/membership"
+	"github.com/lichenfall/lichenfall/lib/logging"
+	"github.com/lichenfall/lichenfall/submissions/client"
+	"github.com/lichenfall/lichenfall/submissions/fakebackend"
+	"github.com/lichenfall/lichenfall/submissions/fakeplatform"
+	"github.com/lichenfall/lichenfall/submissions/job"
+	"github.com/lichenfall/lichenfall/submissions/local"
+	"github.com/lichenfall/lichenfall/submissions/membership"
 )
 
 // These tests run whole systems on loopback. Their waits are bounds that a slow
--- a/membership/view_test.go
+++ b/submissions/membership/view_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/lichenfall/lichenfall/membership"
+	"github.com/lichenfall/lichenfall/submissions/membership"
 )
 
 func TestMembership(t *testing.T) {
--- a/placement/placement_test.go
+++ b/submissions/placement/placement_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/lichenfall/lichenfall/placement"
+	"github.com/lichenfall/lichenfall/submissions/placement"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/queue/bench_test.go
+++ b/submissions/queue/bench_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/queue"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/submissions/queue"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/queue/hold.go
+++ b/submissions/queue/hold.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/lichenfall/lichenfall/failure"
+	"github.com/lichenfall/lichenfall/lib/failure"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/queue/queue.go
+++ b/submissions/queue/queue.go
@@ -7,7 +7,7 @@
 import (
 	"time"
 
-	"github.com/lichenfall/lichenfall/failure"
+	"github.com/lichenfall/lichenfall/lib/failure"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/queue/queue_test.go
+++ b/submissions/queue/queue_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/lichenfall/lichenfall/failure"
-	"github.com/lichenfall/lichenfall/queue"
+	"github.com/lichenfall/lichenfall/lib/failure"
+	"github.com/lichenfall/lichenfall/submissions/queue"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
--- a/soak/processes_test.go
+++ b/submissions/soak/processes_test.go
@@ -18,8 +18,8 @@
 	"testing"
 	"time"
 
-	"github.com/lichenfall/lichenfall/fakebackend"
-	"github.com/lichenfall/lichenfall/ports"
+	"github.com/lichenfall/lichenfall/lib/ports"
+	"github.com/lichenfall/lichenfall/submissions/fakebackend"
 )
 
 // process is one real process, which may be started again with the same
--- a/soak/soak_test.go
+++ b/submissions/soak/soak_test.go
@@ -19,9 +19,9 @@
 	"testing"
 	"time"
 
-	"github.com/lichenfall/lichenfall/claim"
-	"github.com/lichenfall/lichenfall/client"
-	"github.com/lichenfall/lichenfall/job"
+	"github.com/lichenfall/lichenfall/submissions/claim"
+	"github.com/lichenfall/lichenfall/submissions/client"
+	"github.com/lichenfall/lichenfall/submissions/job"
 )
 
 var (
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"github.com/lichenfall/lichenfall/golden"
+	"github.com/lichenfall/lichenfall/lib/golden"
 )
 
 // TestEncodedMessages holds the bytes of one message of each kind, every field
--- a/wire/jobs.go
+++ b/wire/jobs.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"github.com/lichenfall/lichenfall/durable"
+	"github.com/lichenfall/lichenfall/jobs/durable"
 )
 
 //go:generate go tool msgp -io=false -tests=false -file jobs.go -o jobs_gen.go
--- a/wire/jobs_gen.go
+++ b/wire/jobs_gen.go
@@ -3,7 +3,7 @@
 package wire
 
 import (
-	"github.com/lichenfall/lichenfall/durable"
+	"github.com/lichenfall/lichenfall/jobs/durable"
 	"github.com/tinylib/msgp/msgp"
 )
 
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/lichenfall/lichenfall/durable"
+	"github.com/lichenfall/lichenfall/jobs/durable"
 	"github.com/lichenfall/lichenfall/wire"
 )
 
