--- a/submissions/agent/agent.go
+++ b/submissions/agent/agent.go
@@ -181,16 +181,10 @@
 }
 
 func (a *Agent) hello() *wire.Hello {
-	return &wire.Hello{
-		Version:     wire.Version,
-		Role:        wire.RoleAgent,
-		Box:         a.cfg.Box.Name,
-		DataCentre:  a.cfg.Box.DataCentre,
-		Incarnation: a.incarnation,
-		Pool:        a.cfg.Backend.Pool,
-		Slots:       uint32(a.cfg.Backend.Slots),
-		Queue:       uint32(a.cfg.Backend.Queue),
-		Assignment:  a.assignment,
-		UnixMicros:  time.Now().UnixMicro(),
-	}
+	h := peer.Introduction(wire.RoleAgent, a.cfg.Box.Name, a.cfg.Box.DataCentre, a.incarnation, "")
+	h.Pool = a.cfg.Backend.Pool
+	h.Slots = uint32(a.cfg.Backend.Slots)
+	h.Queue = uint32(a.cfg.Backend.Queue)
+	h.Assignment = a.assignment
+	return h
 }
--- a/submissions/entry/entry.go
+++ b/submissions/entry/entry.go
@@ -114,6 +114,7 @@
 		MaxFrame:   e.cfg.Peers.MaxFrame,
 		ClockBound: e.cfg.Peers.ClockBound.D(),
 		Counter:    metrics.NewPeers(e.registry.Scope),
+		Advertise:  e.cfg.Peers.Advertise,
 	}
 	listener, err := peer.Listen(e.cfg.Peers.Listen, e.peerOpts)
 	if err != nil {
@@ -141,7 +142,7 @@
 func (e *Entry) coreSettings() dispatch.Settings {
 	c, j := e.cfg.Claims, e.cfg.Jobs
 	return dispatch.Settings{
-		Self:        claim.Owner{Address: e.advertised(), Incarnation: e.incarnation},
+		Self:        claim.Owner{Address: e.listener.Advertised(), Incarnation: e.incarnation},
 		Holders:     c.Holders,
 		Teams:       j.Teams,
 		Pools:       j.Pools,
@@ -181,13 +182,6 @@
 // PeerAddr returns the address for peers.
 func (e *Entry) PeerAddr() string { return e.listener.Addr() }
 
-func (e *Entry) advertised() string {
-	if e.cfg.Peers.Advertise != "" {
-		return e.cfg.Peers.Advertise
-	}
-	return e.listener.Addr()
-}
-
 // Stop makes a planned stop: new submissions are refused, those in flight get
 // their answers. It returns when all are answered or ctx ends.
 func (e *Entry) Stop(ctx context.Context) {
@@ -221,14 +215,7 @@
 }
 
 func (e *Entry) hello() *wire.Hello {
-	return &wire.Hello{
-		Version:     wire.Version,
-		Role:        wire.RoleEntry,
-		Box:         e.cfg.Box.Name,
-		DataCentre:  e.cfg.Box.DataCentre,
-		Incarnation: e.incarnation,
-		Address:     e.advertised(),
-		Assignment:  e.assignment,
-		UnixMicros:  time.Now().UnixMicro(),
-	}
+	h := peer.Introduction(wire.RoleEntry, e.cfg.Box.Name, e.cfg.Box.DataCentre, e.incarnation, e.listener.Advertised())
+	h.Assignment = e.assignment
+	return h
 }
