--- a/jobs/runtable/run.go
+++ b/jobs/runtable/run.go
@@ -31,6 +31,7 @@
 	stop        bool      // stop as soon as the start is answered
 	unanswered  bool      // an order had no answer: it may be carried out late
 	straggled   bool      // was stopped since it was over its limit
+	adopted     bool      // was ordered by an earlier process: order holds no need
 }
 
 // age returns how long the run has been running, in milliseconds.
@@ -54,14 +55,24 @@
 func (t *Table) used() (running, waiting durable.Resources) {
 	for _, r := range t.runs {
 		if r.state == runWaiting {
-			waiting = waiting.Add(r.order.Need)
+			waiting = waiting.Add(t.needOf(r))
 		} else {
-			running = running.Add(r.order.Need)
+			running = running.Add(t.needOf(r))
 		}
 	}
 	return running, waiting
 }
 
+// needOf returns what a run takes. That of an adopted one died with the process
+// that ordered it. It is guessed from the capacity each time, since the backend
+// server may tell its capacity only after the run was adopted.
+func (t *Table) needOf(r *run) durable.Resources {
+	if r.adopted {
+		return durable.Resources{CPU: t.identity.Capacity.CPU / adoptedShare}
+	}
+	return r.order.Need
+}
+
 // free returns what neither runs nor waits take; it may be negative.
 func (t *Table) free() durable.Resources {
 	running, waiting := t.used()
@@ -78,9 +89,9 @@
 		if t.runs[l.Ref] != nil {
 			continue
 		}
-		need := durable.Resources{CPU: t.identity.Capacity.CPU / adoptedShare}
 		t.runs[l.Ref] = &run{
-			order:   wire.RunOrder{Ref: l.Ref, Need: need},
+			order:   wire.RunOrder{Ref: l.Ref},
+			adopted: true,
 			lease:   t.leaseOfListed(l.Ref),
 			state:   runRunning,
 			started: now,
