--- a/commands/coordinator.go
+++ b/commands/coordinator.go
@@ -2,56 +2,41 @@
 
 import (
 	"context"
-	"os"
 	"time"
 
 	"go.uber.org/zap"
 
 	"github.com/lichenfall/lichenfall/config"
 	"github.com/lichenfall/lichenfall/jobs/coordinator"
-	"github.com/lichenfall/lichenfall/lib/logging"
-	"github.com/lichenfall/lichenfall/metrics"
+	"github.com/lichenfall/lichenfall/lib/web"
 	"github.com/lichenfall/lichenfall/platform"
 )
 
 func init() {
 	register(command{
 		name:    "coordinator",
-		summary: "Run a coordinator of kept jobs on the users' platform",
+		summary: "Run a coordinator of jobs on the users' platform",
 		usage: "Takes jobs from the platform's clients, keeps them in its store and has workers run them. SIGTERM makes a " +
-			"planned stop; SIGHUP reads the settings again.",
+			"planned stop; SIGHUP reads the log level again.",
 		flags: &coordinatorCommand{},
 	})
 }
 
 type coordinatorCommand struct {
-	settingsFlag
+	jobDaemon
 }
 
 // Execute runs the command.
 func (c *coordinatorCommand) Execute([]string) error {
-	sig := watchSignals()
 	cfg := config.DefaultCoordinator()
-	if err := c.load(cfg); err != nil {
+	defer c.end()
+	if err := c.begin("coordinator", common{cfg, &cfg.Process, &cfg.Log, &cfg.Store, &cfg.Admin}); err != nil {
 		return err
 	}
-	limitMemory(cfg.Process)
-	log, err := logging.NewAsync(os.Stdout, cfg.Log.Level)
-	if err != nil {
-		return usageError(err)
-	}
-	reg := metrics.New("coordinator")
-	defer reg.Close()
-	s := platform.NewStore(cfg.Store.Address, func(err error) { log.Warn("configuration_unreadable", zap.Error(err)) })
-	k, err := coordinator.Start(cfg, s, metrics.NewJobs(reg.Scope), log)
+	k, err := coordinator.Start(cfg, c.store, c.metrics, c.log)
 	if err != nil {
 		return err
 	}
-	admin, err := operate(cfg.Admin.Listen, reg, log)
-	if err != nil {
-		return err
-	}
-	defer admin.Close()
 	ready, err := serveOn(cfg.Serving.Ready, platform.ReadyHandler(k), cfg.Serving.MaxConns)
 	if err != nil {
 		return err
@@ -61,20 +46,27 @@
 	if err != nil {
 		return err
 	}
-	sig.untilStop(func() { reloadLevel(&c.settingsFlag, cfg, &cfg.Log, log) })
-	k.Drain()
-	// The balancer needs to see that we are not ready; until then, and on open
-	// connections, callers are still served.
-	time.Sleep(cfg.Process.Grace.D() * drainPart / drainWhole)
-	ctx, cancel := context.WithTimeout(context.Background(), cfg.Process.Grace.D()/drainWhole)
-	defer cancel()
-	_ = jobs.Drain(ctx)
-	k.Close()
+	c.signals.untilStop(func() { reloadLevel(&c.settingsFlag, config.DefaultCoordinator(), c.log) })
+	c.stop(k, jobs, cfg.Process.Grace.D())
 	return nil
 }
 
-// The part of the grace that callers are served for after a stop signal.
+// The part of the grace for which callers are served after a stop signal. Chosen,
+// not measured: the balancer takes up to 2 s to see that we are not ready.
 const (
 	drainPart  = 3
 	drainWhole = 5
 )
+
+// stop makes a planned stop within the grace. The balancer needs to see that we
+// are not ready; until then, and on open connections, callers are still served.
+func (c *coordinatorCommand) stop(k *coordinator.Coordinator, jobs *web.Server, grace time.Duration) {
+	k.Drain()
+	time.Sleep(grace * drainPart / drainWhole)
+	ctx, cancel := context.WithTimeout(context.Background(), grace/drainWhole)
+	defer cancel()
+	if err := jobs.Drain(ctx); err != nil {
+		c.log.Warn("stopped_with_calls", zap.Error(err))
+	}
+	k.Close()
+}
--- a/commands/daemon.go
+++ b/commands/daemon.go
@@ -76,17 +76,19 @@
 	}
 }
 
-// reloadLevel reads the settings again; only the log's level can change while
-// the daemon runs.
-func reloadLevel(f *settingsFlag, s config.Settings, section *config.Log, log *logging.Log) {
-	if err := f.load(s); err != nil {
+// reloadLevel reads the settings again, into fresh, which holds the defaults; only
+// the log's level can change while the daemon runs. The settings in use are read
+// by other goroutines, and stay.
+func reloadLevel(f *settingsFlag, fresh config.Settings, log *logging.Log) {
+	if err := f.load(fresh); err != nil {
 		log.Warn("reload_failed", zap.Error(err))
 		return
 	}
-	if l, err := zap.ParseAtomicLevel(section.Level); err == nil {
+	level := fresh.LogLevel()
+	if l, err := zap.ParseAtomicLevel(level); err == nil {
 		log.Level.SetLevel(l.Level())
 	}
-	log.Info("reloaded")
+	log.Info("reloaded", zap.String("level", level))
 }
 
 // serveOn serves a handler with the usual limits.
--- a/commands/worker.go
+++ b/commands/worker.go
@@ -1,64 +1,47 @@
 package commands
 
 import (
-	"os"
-
-	"go.uber.org/zap"
-
 	"github.com/lichenfall/lichenfall/config"
 	"github.com/lichenfall/lichenfall/jobs/worker"
-	"github.com/lichenfall/lichenfall/lib/logging"
-	"github.com/lichenfall/lichenfall/metrics"
 	"github.com/lichenfall/lichenfall/platform"
 )
 
 func init() {
 	register(command{
 		name:    "worker",
-		summary: "Run a worker beside an executor of the users' platform",
-		usage: "Runs the tasks that coordinators order on the executor of this box, and keeps the lease that they run under. " +
-			"SIGTERM ends it; what runs goes on under its lease. SIGHUP reads the settings again.",
+		summary: "Run a worker beside a backend server of the users' platform",
+		usage: "Runs the tasks that coordinators order on the backend server of this box, and keeps the lease that they run under. " +
+			"SIGTERM ends it; what runs goes on under its lease. SIGHUP reads the log level again.",
 		flags: &workerCommand{},
 	})
 }
 
 type workerCommand struct {
-	settingsFlag
+	jobDaemon
 }
 
-// workerConns is how many connections the backend server may have to us.
+// workerConns is how many connections the backend server may have to us. Chosen,
+// not measured: it needs one.
 const workerConns = 16
 
 // Execute runs the command.
 func (c *workerCommand) Execute([]string) error {
-	sig := watchSignals()
 	cfg := config.DefaultWorker()
-	if err := c.load(cfg); err != nil {
+	defer c.end()
+	if err := c.begin("worker", common{cfg, &cfg.Process, &cfg.Log, &cfg.Store, &cfg.Admin}); err != nil {
 		return err
 	}
-	limitMemory(cfg.Process)
-	log, err := logging.NewAsync(os.Stdout, cfg.Log.Level)
-	if err != nil {
-		return usageError(err)
-	}
-	reg := metrics.New("worker")
-	defer reg.Close()
-	s := platform.NewStore(cfg.Store.Address, func(err error) { log.Warn("configuration_unreadable", zap.Error(err)) })
-	w, err := worker.Start(cfg, platform.NewExecutor(cfg.Backend.Address), s, metrics.NewJobs(reg.Scope), log)
+	backend := platform.NewExecutor(cfg.Backend.Address, c.report)
+	w, err := worker.Start(cfg, backend, c.store, c.metrics, c.log)
 	if err != nil {
 		return err
 	}
-	control, err := serveOn(cfg.Backend.Listen, platform.ControlHandler(w), workerConns)
+	control, err := serveOn(cfg.Backend.Listen, platform.ControlHandler(w, c.report), workerConns)
 	if err != nil {
 		return err
 	}
 	defer control.Close()
-	admin, err := operate(cfg.Admin.Listen, reg, log)
-	if err != nil {
-		return err
-	}
-	defer admin.Close()
-	sig.untilStop(func() { reloadLevel(&c.settingsFlag, cfg, &cfg.Log, log) })
+	c.signals.untilStop(func() { reloadLevel(&c.settingsFlag, config.DefaultWorker(), c.log) })
 	w.Close()
 	return nil
 }
--- a/config/checker.go
+++ b/config/checker.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"net"
 	"net/url"
+	"reflect"
 	"strconv"
 
 	"github.com/lichenfall/lichenfall/submissions/job"
@@ -15,6 +16,19 @@
 	d *decoder
 }
 
+// section is one part of a role's settings.
+type section interface {
+	check(c *checker)
+}
+
+// checkSections checks each section of a role's settings, in their order.
+func checkSections(c *checker, settings any) {
+	v := reflect.ValueOf(settings).Elem()
+	for i := range v.NumField() {
+		v.Field(i).Addr().Interface().(section).check(c)
+	}
+}
+
 // between reports the field when v is outside [low, high].
 func between[T cmp.Ordered](c *checker, field string, v, low, high T) {
 	if v < low || v > high {
--- a/config/decode.go
+++ b/config/decode.go
@@ -51,6 +51,8 @@
 type Settings interface {
 	// check reports what is wrong with values that are well-formed.
 	check(c *checker)
+	// LogLevel returns the level of the program's own log.
+	LogLevel() string
 }
 
 // Load reads the file into s, which holds the defaults.
--- a/config/jobroles.go
+++ b/config/jobroles.go
@@ -30,18 +30,10 @@
 	}
 }
 
-func (k *Coordinator) check(c *checker) {
-	k.Box.check(c)
-	k.Serving.check(c)
-	k.Admin.check(c)
-	k.Peers.check(c)
-	k.Store.check(c)
-	k.Ownership.check(c)
-	k.Subset.check(c)
-	k.Scheduler.check(c)
-	k.Process.check(c)
-	k.Log.check(c)
-}
+func (k *Coordinator) check(c *checker) { checkSections(c, k) }
+
+// LogLevel implements Settings.
+func (k *Coordinator) LogLevel() string { return k.Log.Level }
 
 // Worker is the file of a worker.
 type Worker struct {
@@ -68,13 +60,7 @@
 	}
 }
 
-func (w *Worker) check(c *checker) {
-	w.Box.check(c)
-	w.Admin.check(c)
-	w.Peers.check(c)
-	w.Store.check(c)
-	w.Backend.check(c)
-	w.Runs.check(c)
-	w.Process.check(c)
-	w.Log.check(c)
-}
+func (w *Worker) check(c *checker) { checkSections(c, w) }
+
+// LogLevel implements Settings.
+func (w *Worker) LogLevel() string { return w.Log.Level }
--- a/config/roles.go
+++ b/config/roles.go
@@ -28,19 +28,15 @@
 }
 
 func (e *Entry) check(c *checker) {
-	e.Box.check(c)
-	e.HTTP.check(c)
-	e.Peers.check(c)
-	e.Claims.check(c)
-	e.Jobs.check(c)
-	e.Placement.check(c)
-	e.Platform.check(c)
-	e.Log.check(c)
+	checkSections(c, e)
 	if e.Jobs.MaxPayload > e.Peers.MaxFrame/2 {
 		c.d.report("jobs.max_payload", "does not fit into a frame", "at most half of peers.max_frame")
 	}
 }
 
+// LogLevel implements Settings.
+func (e *Entry) LogLevel() string { return e.Log.Level }
+
 // Agent is the file of an agent.
 type Agent struct {
 	Box     Box     `json:"box"`
@@ -65,17 +61,15 @@
 }
 
 func (a *Agent) check(c *checker) {
-	a.Box.check(c)
-	a.Peers.check(c)
-	a.Admin.check(c)
-	a.Claims.check(c)
-	a.Backend.check(c)
-	a.Log.check(c)
+	checkSections(c, a)
 	if a.Backend.MaxAnswer > int64(a.Peers.MaxFrame)/2 {
 		c.d.report("backend.max_answer", "does not fit into a frame", "at most half of peers.max_frame")
 	}
 }
 
+// LogLevel implements Settings.
+func (a *Agent) LogLevel() string { return a.Log.Level }
+
 // Roles returns the defaults of each role by its name.
 func Roles() []Role {
 	return []Role{
