--- a/commands/commands.go
+++ b/commands/commands.go
@@ -1,5 +1,6 @@
 // Package commands holds the commands of the lichenfall program, a file each.
-// Each registers itself with its usage text.
+// Each registers itself with its usage text. It owns the process: signals, exit codes
+// and what is started in which order.
 package commands
 
 import (
--- a/commands/coordinator.go
+++ b/commands/coordinator.go
@@ -54,7 +54,7 @@
 // The part of the grace for which callers are served after a stop signal. Chosen,
 // not measured: the balancer takes up to 2 s to see that we are not ready.
 const (
-	drainPart  = 3
+	drainPart  = 3 // fifths of it
 	drainWhole = 5
 )
 
--- a/commands/dev.go
+++ b/commands/dev.go
@@ -29,7 +29,10 @@
 	Level   string `long:"log-level" default:"warn" description:"debug, info, warn or error"`
 }
 
-const devTaskTime = 50 * time.Millisecond
+const (
+	devTaskTime  = 50 * time.Millisecond // of a task that names none; the shortest of the users'
+	devStopLimit = time.Minute           // for jobs in flight at the end
+)
 
 // Execute runs the command.
 func (c *devCommand) Execute([]string) error {
@@ -42,23 +45,11 @@
 	}
 	run, cancel := untilSignal()
 	defer cancel()
-	cluster, err := local.Start(run, local.Options{
-		Entries: c.Entries,
-		Agents:  c.Agents,
-		HTTP:    c.Listen,
-		Backend: fakebackend.Settings{TaskTime: devTaskTime},
-		Log:     log,
-	})
+	cluster, err := c.startEntries(run, log)
 	if err != nil {
 		return err
 	}
-	jobs, err := joblocal.Start(joblocal.Options{
-		Coordinators: c.Entries,
-		Workers:      c.Agents,
-		HTTP:         c.Jobs,
-		Work:         devTaskTime,
-		Log:          log,
-	})
+	jobs, err := c.startCoordinators(log)
 	if err != nil {
 		return err
 	}
@@ -66,12 +57,32 @@
 	c.greet(cluster)
 	c.greetJobs(jobs)
 	<-run.Done()
-	stop, cancel := context.WithTimeout(context.Background(), time.Minute)
+	stop, cancel := context.WithTimeout(context.Background(), devStopLimit)
 	defer cancel()
 	cluster.Stop(stop)
 	return nil
 }
 
+func (c *devCommand) startEntries(run context.Context, log *logging.Log) (*local.Cluster, error) {
+	return local.Start(run, local.Options{
+		Entries: c.Entries,
+		Agents:  c.Agents,
+		HTTP:    c.Listen,
+		Backend: fakebackend.Settings{TaskTime: devTaskTime},
+		Log:     log,
+	})
+}
+
+func (c *devCommand) startCoordinators(log *logging.Log) (*joblocal.Cluster, error) {
+	return joblocal.Start(joblocal.Options{
+		Coordinators: c.Entries,
+		Workers:      c.Agents,
+		HTTP:         c.Jobs,
+		Work:         devTaskTime,
+		Log:          log,
+	})
+}
+
 func (c *devCommand) greet(cluster *local.Cluster) {
 	urls := cluster.URLs()
 	fmt.Printf("lichenfall is up: %d entries, %d agents, a stand-in platform at %s\n", c.Entries, c.Agents, cluster.Platform.URL())
--- a/commands/load.go
+++ b/commands/load.go
@@ -54,6 +54,7 @@
 	Slack      int           `long:"slack" default:"0" description:"placement.slack of the local system"`
 }
 
+// maxFanOut bounds the tasks of a job: the most that the users send.
 const maxFanOut = 150
 
 // Execute runs the command.
--- a/commands/pages.go
+++ b/commands/pages.go
@@ -29,8 +29,8 @@
 }
 
 const (
-	dirMode  = 0o755
-	fileMode = 0o644
+	dirMode  = 0o755 // of folders that are made
+	fileMode = 0o644 // of pages
 )
 
 // Execute runs the command.
--- a/commands/status.go
+++ b/commands/status.go
@@ -29,6 +29,7 @@
 	} `positional-args:"yes"`
 }
 
+// statusTimeout is for one question. Chosen, not measured.
 const statusTimeout = 5 * time.Second
 
 // Execute runs the command.
--- a/config/ownership.go
+++ b/config/ownership.go
@@ -7,14 +7,18 @@
 // Ownership is the section on the group of coordinators that own the store's
 // partitions.
 type Ownership struct {
-	TTL          Duration `json:"ttl"`           // how long a join holds
-	Join         Duration `json:"join"`          // between joins
-	CallLimit    Duration `json:"call_limit"`    // for one join
-	AppendLimit  Duration `json:"append_limit"`  // for one append, before it is repeated
-	ReadLimit    Duration `json:"read_limit"`    // to read a partition
-	Announce     Duration `json:"tell"`          // between announcements to other coordinators
-	Flush        Duration `json:"flush"`         // longest wait for the store at a planned stop
-	ReconnectMax Duration `json:"reconnect_max"` // longest pause before a lost peer is dialled
+	// TTL is how long a join holds: after it another coordinator gets the partitions.
+	// The least that the store grants is 1 s; design 0004 adds up a takeover.
+	TTL         Duration `json:"ttl"`
+	Join        Duration `json:"join"`         // between joins; chosen, not measured: four of them fit into a TTL
+	CallLimit   Duration `json:"call_limit"`   // for one join; chosen, not measured: within a TTL
+	AppendLimit Duration `json:"append_limit"` // for one append, before it is repeated; chosen, not measured
+	ReadLimit   Duration `json:"read_limit"`   // to read a partition; chosen, not measured
+	// Announce is the time between announcements to other coordinators, where they
+	// would send a call to the wrong place. Chosen, not measured.
+	Announce     Duration `json:"tell"`
+	Flush        Duration `json:"flush"`         // longest wait for the store at a planned stop; chosen, not measured
+	ReconnectMax Duration `json:"reconnect_max"` // longest pause before a lost peer is dialled; chosen, not measured
 }
 
 // DefaultOwnership returns the defaults of Ownership.
--- a/config/runs.go
+++ b/config/runs.go
@@ -6,19 +6,39 @@
 	"github.com/lichenfall/lichenfall/jobs/runtable"
 )
 
-// Runs is the worker's section on the runs beside it. Partitions and leases
-// must be those of the coordinators.
+// Runs is the worker's section on the runs on its backend server. Partitions and
+// leases must be those of the coordinators. In the file, hold is the lease that the
+// backend server grants.
 type Runs struct {
-	Partitions      uint32   `json:"partitions"`
-	OwnerLease      Duration `json:"owner_lease"`
+	Partitions uint32 `json:"partitions"` // of the store; the users' platform sets it
+	// OwnerLease is how long a coordinator's heartbeat keeps the runs of its kept
+	// jobs: eight heartbeats, so that no short pause stops work. Design 0004 adds up
+	// the leases; chosen, not measured.
+	OwnerLease Duration `json:"owner_lease"`
+	// BestEffortLease is the same for best-effort jobs. With StopGrace it is less than
+	// the 1.3 s after which a caller without an answer sends a job again.
 	BestEffortLease Duration `json:"best_effort_lease"`
-	StopGrace       Duration `json:"stop_grace"`
-	BackendLease    Duration `json:"hold_lease"`
-	RenewWait       Duration `json:"hold_renew"`  // between renewals of the backend server's lease
-	StartLimit      Duration `json:"start_limit"` // after which an unanswered start is given up
-	CallLimit       Duration `json:"call_limit"`  // for one call of the backend server
-	MaxWaiting      int      `json:"max_waiting"` // runs that may wait for room
-	FirstLease      Duration `json:"first_lease"` // owner lease that a fresh process assumes
+	// StopGrace is the time from the end of an owner's lease to stop its runs one by
+	// one. Chosen, not measured: three calls.
+	StopGrace Duration `json:"stop_grace"`
+	// BackendLease is the longest lease that the backend server grants; the users'
+	// platform sets it.
+	BackendLease Duration `json:"hold_lease"`
+	// RenewWait is how long a renewal of that lease may wait for news. Chosen, not
+	// measured: a tenth of the lease.
+	RenewWait Duration `json:"hold_renew"`
+	// StartLimit is when an unanswered start is stopped. Chosen, not measured: well
+	// within the 2 to 12 s in which it may still be carried out.
+	StartLimit Duration `json:"start_limit"`
+	// CallLimit is for one call of the backend server. Chosen, not measured: some
+	// twenty times what one takes.
+	CallLimit Duration `json:"call_limit"`
+	// MaxWaiting is how many runs may wait for room. Chosen, not measured; coordinators
+	// send two at most each.
+	MaxWaiting int `json:"max_waiting"`
+	// FirstLease is how long a fresh process waits for the owners of what it adopted.
+	// Chosen, not measured: a heartbeat and some.
+	FirstLease Duration `json:"first_lease"`
 }
 
 // DefaultRuns returns the defaults of Runs.
--- a/config/scheduler.go
+++ b/config/scheduler.go
@@ -8,25 +8,38 @@
 
 // Scheduler is the section on jobs and where their tasks run.
 type Scheduler struct {
-	Partitions   uint32   `json:"partitions"`  // of the store; the same everywhere
-	Heartbeat    Duration `json:"heartbeat"`   // to each worker
-	Suspect      Duration `json:"suspect"`     // silence after which a worker is dialled anew
-	OwnerLease   Duration `json:"owner_lease"` // how long a heartbeat holds at a worker
-	BackendLease Duration `json:"hold_lease"`  // longest lease of a backend server
-	// BestEffortLease is the owner lease of jobs that are not kept.
+	Partitions uint32   `json:"partitions"` // of the store, the same everywhere; the users' platform sets it
+	Heartbeat  Duration `json:"heartbeat"`  // to each worker; chosen, not measured: an eighth of the owner lease
+	// Suspect is the silence after which a worker is dialled anew. Chosen, not
+	// measured: three heartbeats and some.
+	Suspect Duration `json:"suspect"`
+	// The leases are those of the workers' section runs, which says where they come
+	// from. In the file, hold is the lease that a backend server grants.
+	OwnerLease      Duration `json:"owner_lease"`
+	BackendLease    Duration `json:"hold_lease"`
 	BestEffortLease Duration `json:"best_effort_lease"`
-	StopGrace       Duration `json:"stop_grace"`    // from the end of an owner lease until the backend server's lapses
-	CommitGap       Duration `json:"commit_gap"`    // between two commits of a partition
-	LazyCommit      Duration `json:"lazy_commit"`   // how long an end may wait that no caller waits for
-	CallLimit       Duration `json:"call_limit"`    // after which a caller is told that the outcome is unknown
-	RetryAfter      Duration `json:"retry_after"`   // what refused callers are told
-	CommitRetry     Duration `json:"commit_retry"`  // pause after the store refused
-	KeepFinal       Duration `json:"keep_final"`    // how long the state of ended jobs is kept
-	StateWait       Duration `json:"state_wait"`    // how long the answer to a question waits for a job's end
-	MaxBatch        int      `json:"max_batch"`     // bytes of one commit
-	MaxJobs         int      `json:"max_jobs"`      // jobs of one coordinator that have not ended
-	StragglerX      float64  `json:"straggler_x"`   // a run is stopped after so many times its estimate
-	StragglerMin    Duration `json:"straggler_min"` // and this much more
+	StopGrace       Duration `json:"stop_grace"`
+	// CommitGap is the least time between two commits of a partition: the store takes
+	// one append in 4 ms, and 8 partitions at 100 a second are its 800 writes.
+	CommitGap Duration `json:"commit_gap"`
+	// LazyCommit is how long an end may wait that no caller waits for, so that ends
+	// share commits. Chosen, not measured.
+	LazyCommit Duration `json:"lazy_commit"`
+	// CallLimit is when a caller is told that the outcome is unknown. Chosen, not
+	// measured: less than the 1.3 s after which callers try again.
+	CallLimit   Duration `json:"call_limit"`
+	RetryAfter  Duration `json:"retry_after"`  // what refused callers are told; the least that the header can say
+	CommitRetry Duration `json:"commit_retry"` // pause after the store refused; chosen, not measured
+	KeepFinal   Duration `json:"keep_final"`   // how long the state of ended jobs is kept; the users' platform sets it
+	// StateWait is how long the answer to a question waits for a job's end, so that
+	// callers ask less often. Chosen, not measured.
+	StateWait Duration `json:"state_wait"`
+	MaxBatch  int      `json:"max_batch"` // bytes of one commit; half of what the store takes in a call
+	MaxJobs   int      `json:"max_jobs"`  // of one coordinator that have not ended; chosen, not measured
+	// A run is stopped as a straggler after so many times its estimate, and this much
+	// more. Chosen, not measured.
+	StragglerX   float64  `json:"straggler_x"`
+	StragglerMin Duration `json:"straggler_min"`
 }
 
 // DefaultScheduler returns the defaults of Scheduler.
--- a/jobs/durable/check.go
+++ b/jobs/durable/check.go
@@ -7,8 +7,8 @@
 
 // Bounds of a job.
 const (
-	MaxSpec  = 4000 // bytes
-	MaxSteps = 256
+	MaxSpec  = 4000  // bytes
+	MaxSteps = 256   // of a job; chosen, not measured
 	MaxTasks = 10000 // of all steps
 )
 
--- a/jobs/durable/durable.go
+++ b/jobs/durable/durable.go
@@ -1,5 +1,7 @@
 // Package durable defines the jobs that are kept in the log store before they
-// are acknowledged, and the records that describe them there. It does no I/O.
+// are acknowledged, and the records that describe them there. It owns their encoded
+// form, which must stay readable: the store has records of earlier versions. It does
+// no I/O.
 package durable
 
 import (
@@ -58,6 +60,7 @@
 	return fmt.Sprintf("%s.%d.%d.%d", t.Job, t.Repeat, t.Step, t.Index)
 }
 
+// taskIDParts is the number of parts of a TaskID's text.
 const taskIDParts = 4
 
 // ParseTaskID reads what TaskID.String writes; ok is false for anything else.
@@ -222,6 +225,7 @@
 // Bitmap is a set of task numbers.
 type Bitmap []byte
 
+// byteBits is the number of bits of a byte.
 const byteBits = 8
 
 // Has returns whether n is in the set.
--- a/jobs/local/cluster.go
+++ b/jobs/local/cluster.go
@@ -51,6 +51,7 @@
 	servers []*web.Server
 }
 
+// jobPartitions is the number of partitions, as on the users' platform.
 const jobPartitions = 8
 
 // Start starts a Cluster.
--- a/jobs/ownership/ownership.go
+++ b/jobs/ownership/ownership.go
@@ -1,5 +1,7 @@
 // Package ownership is the core that follows which partitions a coordinator
-// owns, and until when it may act on them. It does no I/O and reads no clock.
+// owns, and until when it may act on them. It relies on the store's generations to
+// rise with each change: a generation is the fencing epoch of what it deals out. It
+// does no I/O and reads no clock.
 package ownership
 
 import (
--- a/jobs/routing/routing.go
+++ b/jobs/routing/routing.go
@@ -1,5 +1,6 @@
-// Package queues holds the operators' configuration of queues, and finds the
-// queue of a caller's request. It does no I/O.
+// Package routing holds the operators' configuration, and finds the queue that a
+// caller's request goes to. A configuration is never changed once it is made; the
+// adapter makes them and the coordinator keeps the newest. It does no I/O.
 package routing
 
 import (
--- a/lib/golden/golden.go
+++ b/lib/golden/golden.go
@@ -16,8 +16,8 @@
 const writeVariable = "LICHENFALL_WRITE_GOLDEN"
 
 const (
-	dirMode  = 0o755
-	fileMode = 0o644
+	dirMode  = 0o755 // of testdata
+	fileMode = 0o644 // of a file
 )
 
 // Check fails the test unless testdata/name holds exactly got.
--- a/lib/logging/logging.go
+++ b/lib/logging/logging.go
@@ -1,4 +1,6 @@
-// Package logging makes the structured logger of a process.
+// Package logging makes the structured logger of a process. It owns the buffer of
+// lines that wait to be written and the count of those left out; it never blocks
+// the caller, and relies on the output being read some day.
 package logging
 
 import (
--- a/lib/loop/loop.go
+++ b/lib/loop/loop.go
@@ -1,5 +1,6 @@
 // Package loop runs the one goroutine of a process that owns its control
-// state. Other goroutines tell it what happens by events.
+// state. Other goroutines tell it what happens by events. It owns the queue of events
+// and relies on the steps that it is given not to block.
 package loop
 
 import "time"
--- a/lib/ordered/ordered.go
+++ b/lib/ordered/ordered.go
@@ -1,5 +1,6 @@
 // Package ordered goes through maps in the order of their keys, so that the
-// cores decide the same from the same inputs.
+// cores decide the same from the same inputs. It owns nothing; each call sorts, so it
+// is for maps of a few thousand entries.
 package ordered
 
 import (
--- a/lib/peer/conn.go
+++ b/lib/peer/conn.go
@@ -1,5 +1,7 @@
 // Package peer carries wire messages between lichenfall's processes over TCP:
-// connections with a bounded backlog, a listener, and links that reconnect.
+// connections with a bounded backlog, a listener, and links that reconnect. It
+// owns the sockets and the goroutines that read and write them, and relies on its
+// caller's Handler not to block for long.
 package peer
 
 import (
@@ -58,13 +60,13 @@
 	Advertise    string // how peers reach this process, if not as it listens
 }
 
-// The defaults of Options.
+// The defaults of Options. Chosen, not measured.
 const (
-	DefaultBacklog      = 65536
-	DefaultHelloTimeout = 2 * time.Second
-	DefaultWriteTimeout = 5 * time.Second
-	DefaultClockBound   = 500 * time.Millisecond
-	DefaultReconnectMax = 2 * time.Second
+	DefaultBacklog      = 65536                  // messages
+	DefaultHelloTimeout = 2 * time.Second        // for the peer's first message
+	DefaultWriteTimeout = 5 * time.Second        // for one write
+	DefaultClockBound   = 500 * time.Millisecond // between two boxes that keep time
+	DefaultReconnectMax = 2 * time.Second        // between two dials
 )
 
 // NoClockBound is the ClockBound of peers whose clocks are not compared.
@@ -99,8 +101,8 @@
 // Sizes of buffers. Most messages are small, and a process has hundreds of
 // connections: the reader's buffer, which each keeps, is small too.
 const (
-	bufferBytes = 64 << 10
-	readBytes   = 4 << 10
+	bufferBytes = 64 << 10 // of the writer
+	readBytes   = 4 << 10  // of each reader
 )
 
 // Conn is one connection to a peer. Send may be called from any goroutine.
@@ -125,6 +127,7 @@
 
 func newConn(nc net.Conn, opts Options) *Conn {
 	if tc, ok := nc.(*net.TCPConn); ok {
+		// Where the system refuses it, the write timeout finds a silent peer.
 		_ = tc.SetKeepAliveConfig(keepAlive)
 	}
 	return &Conn{
--- a/lib/peer/link.go
+++ b/lib/peer/link.go
@@ -15,12 +15,14 @@
 // jitter, so that a returning rack is not met by everyone at once.
 const reconnectBase = 50 * time.Millisecond
 
-// A peer that could not be reached so often is probably gone for good.
+// A peer that could not be reached so often is probably gone for good, and dialled
+// less often. Chosen, not measured.
 const (
-	goneAfter = 60
-	goneDelay = 3 * time.Second
+	goneAfter = 60              // attempts
+	goneDelay = 3 * time.Second // between two later ones
 )
 
+// dialTimeout is for one attempt. Chosen, not measured.
 const dialTimeout = time.Second
 
 // Keep holds a connection to addr until ctx ends, dialling again whenever it
--- a/lib/peer/listener.go
+++ b/lib/peer/listener.go
@@ -92,6 +92,7 @@
 		}
 		go func() {
 			defer l.remove(c)
+			// What ended it was counted, and told to the handler.
 			_ = c.serve(l.hello(), l.handler)
 		}()
 	}
--- a/lib/ports/ports.go
+++ b/lib/ports/ports.go
@@ -1,4 +1,6 @@
-// Package ports finds loopback addresses for processes of one machine.
+// Package ports finds loopback addresses for the processes of one machine, in tests
+// and local systems. It owns nothing: an address is free when it is returned, and
+// nobody else takes it, since the system gives those ports to no one.
 package ports
 
 import (
@@ -17,10 +19,10 @@
 // no outgoing connection, so that nobody takes them before they are used.
 const (
 	firstPort  = 7100
-	lastPort   = 30000
-	hostsIn8   = 250
-	firstOctet = 10
-	octets     = 240
+	lastPort   = 30000 // below the ports of outgoing connections on Linux
+	hostsIn8   = 250   // used values of an octet, clear of 0 and 255
+	firstOctet = 10    // of the second octet, clear of what others use
+	octets     = 240   // used values of the second octet
 )
 
 var next atomic.Int64
--- a/lib/retry/retry.go
+++ b/lib/retry/retry.go
@@ -1,5 +1,6 @@
 // Package retry decides whether and when something is tried again: a budget
-// that keeps retries a small share of the work, and a backoff with jitter.
+// that keeps retries a small share of the work, and a backoff with jitter. It reads no
+// clock; whoever retries asks it first.
 package retry
 
 import "time"
--- a/lib/web/web.go
+++ b/lib/web/web.go
@@ -1,5 +1,6 @@
 // Package web holds what the HTTP sides of all daemons share: a server with
-// bounds against slow and greedy clients, and the operators' endpoints.
+// bounds against slow and greedy clients, the operators' endpoints, and reading a
+// request's body. It owns the listening socket of each Server.
 package web
 
 import (
@@ -61,6 +62,7 @@
 		IdleTimeout:       l.IdleTimeout,
 		MaxHeaderBytes:    l.Header,
 	}
+	// Serve ends with Close or Drain, whose callers know.
 	go func() { _ = srv.Serve(netutil.LimitListener(ln, l.Conns)) }()
 	return &Server{srv: srv, ln: ln}, nil
 }
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,5 +1,6 @@
 // Package metrics counts what the daemons do. All names and labels are fixed
-// when a process starts, so that nothing a caller sends can add one.
+// when a process starts, so that nothing a caller sends can add one; the names of
+// decisions are constants of the code. A file a role; it owns the process's registry.
 package metrics
 
 import (
--- a/submissions/agent/agent.go
+++ b/submissions/agent/agent.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	eventBacklog = 512
-	tickEvery    = 5 * time.Millisecond
+	eventBacklog = 512                  // events that may wait for the control loop; chosen, not measured
+	tickEvery    = 5 * time.Millisecond // between looks at the time; half of backend.hold
 	flushTimeout = time.Second
 )
 
--- a/submissions/agent/control.go
+++ b/submissions/agent/control.go
@@ -128,6 +128,7 @@
 	owner := claim.Owner{Address: c.Peer().Address, Incarnation: c.Peer().Incarnation}
 	r := a.claims.Serve(now, owner, m)
 	a.count.Verdict(claim.Verdict(r.Verdict))
+	// When it cannot be sent, the connection is down, and the entry asks again.
 	_ = c.Send(r)
 }
 
@@ -179,8 +180,8 @@
 
 // The bounds of one Results message.
 const (
-	maxItems     = 1024
-	maxItemBytes = 1 << 20
+	maxItems     = 1024    // results; chosen, not measured
+	maxItemBytes = 1 << 20 // of them; a quarter of the default frame
 )
 
 // report sends results, those of one link together.
@@ -229,6 +230,7 @@
 
 func (a *Agent) send(link queue.Link, m wire.Message) {
 	if c := a.links[link]; c != nil {
+		// When it cannot be sent, the connection is down, and down follows.
 		_ = c.Send(m)
 	}
 }
--- a/submissions/backend/client.go
+++ b/submissions/backend/client.go
@@ -41,6 +41,7 @@
 // failure of a task that ran.
 const Path = "/v1/run"
 
+// maxErrorText bounds what of a backend server's error is passed on, in bytes.
 const maxErrorText = 200
 
 // Settings are the bounds of a client.
--- a/submissions/backend/usage.go
+++ b/submissions/backend/usage.go
@@ -21,6 +21,7 @@
 	Tasks       int       `json:"tasks"` // running
 }
 
+// maxUsage bounds a usage report, in bytes.
 const maxUsage = 4 << 10
 
 // Usage reads the report.
--- a/submissions/claim/id.go
+++ b/submissions/claim/id.go
@@ -20,9 +20,9 @@
 
 const (
 	timeMark     = "@"
-	uuidV7       = 7
+	uuidV7       = 7 // version of UUIDs that carry a time
 	hashSepBytes = "\x00"
-	hashBytes    = 8
+	hashBytes    = 8 // of one of the two hashes that the holder is chosen by
 )
 
 // IDTime returns the time that an ID carries, to the millisecond.
--- a/submissions/client/client.go
+++ b/submissions/client/client.go
@@ -1,4 +1,6 @@
-// Package client speaks to entries on behalf of callers and operators.
+// Package client speaks to entries on behalf of callers and operators. It owns idle
+// HTTP connections, and makes the IDs of submissions; it never sends a submission
+// again by itself.
 package client
 
 import (
@@ -24,6 +26,8 @@
 	http *http.Client
 }
 
+// maxIdle is how many idle connections to one entry are kept, so that a load
+// generator need not dial for each job. Chosen, not measured.
 const maxIdle = 1024
 
 // New returns a client for the entry at url.
--- a/submissions/dispatch/watch.go
+++ b/submissions/dispatch/watch.go
@@ -12,7 +12,7 @@
 // answer tasks are never asked, and idle ones cost nothing.
 
 const (
-	watchEvery = 50 * time.Millisecond
+	watchEvery = 50 * time.Millisecond // between looks; a quarter of placement.ping_after
 	// pausedGap is how far apart two ticks are when it was us who stood still.
 	pausedGap = 200 * time.Millisecond
 )
--- a/submissions/entry/api.go
+++ b/submissions/entry/api.go
@@ -42,7 +42,7 @@
 		k = failure.Internal
 	}
 	a := job.Refusal("", failure.New(k, reason), k.Row().Ran)
-	_ = c.JSON(status, a)
+	_ = c.JSON(status, a) // the caller is gone when it cannot be written
 }
 
 // submit takes a submission. With ?wait=false it answers at once and the
--- a/submissions/fakebackend/backend.go
+++ b/submissions/fakebackend/backend.go
@@ -69,10 +69,10 @@
 }
 
 const (
-	maxConns   = 1024
-	usageGrain = 50 * time.Millisecond
-	maxReports = 1000
-	taskMemory = 16 << 20 // bytes that a task is said to use
+	maxConns   = 1024                  // of callers
+	usageGrain = 50 * time.Millisecond // between two points of a usage report
+	maxReports = 1000                  // points that are kept
+	taskMemory = 16 << 20              // bytes that a task is said to use
 )
 
 // New starts a stand-in; seed makes its random choices.
--- a/submissions/job/submission.go
+++ b/submissions/job/submission.go
@@ -58,7 +58,7 @@
 type Digest [sha256.Size]byte
 
 const (
-	maxName       = 64
+	maxName       = 64 // characters; chosen, not measured
 	allowedName   = "1 to 64 characters of A-Z a-z 0-9 . _ : - @"
 	allowedNumber = "%d to %d"
 )
--- a/submissions/load/report.go
+++ b/submissions/load/report.go
@@ -16,9 +16,9 @@
 
 // The range of the histograms, in microseconds, and their precision.
 const (
-	histLow    = 1
+	histLow    = 1 // microsecond
 	histHigh   = int64(10 * time.Minute / time.Microsecond)
-	histDigits = 3
+	histDigits = 3 // significant
 )
 
 // Report is what came of a plan.
--- a/submissions/local/cluster.go
+++ b/submissions/local/cluster.go
@@ -172,8 +172,8 @@
 }
 
 const (
-	readyPoll = 10 * time.Millisecond
-	idGrain   = time.Millisecond // IDs carry their time rounded down to it
+	readyPoll = 10 * time.Millisecond // between questions whether an entry is ready
+	idGrain   = time.Millisecond      // IDs carry their time rounded down to it
 )
 
 // await waits until every entry is connected to every agent and the holders'
--- /dev/null
+++ b/wire/kinds.go
@@ -0,0 +1,166 @@
+package wire
+
+// Kind is the byte that names a message's type on the wire. A number is never
+// used again for another message.
+type Kind uint8
+
+// The kinds of message.
+const (
+	KindHello          Kind = 1
+	KindPlace          Kind = 2
+	KindCancel         Kind = 3
+	KindResults        Kind = 4
+	KindClaim          Kind = 5
+	KindClaimed        Kind = 6 // ClaimReply
+	KindFetch          Kind = 7
+	KindFetched        Kind = 8
+	KindPing           Kind = 9
+	KindLeave          Kind = 10 // LeaveAck
+	KindOwnerHeartbeat Kind = 11
+	KindWorkerStatus   Kind = 12
+	KindStartRuns      Kind = 13
+	KindStopRuns       Kind = 14
+	KindRunEnds        Kind = 15
+	KindEndsKept       Kind = 16
+	KindPartitionRuns  Kind = 17
+	KindJobCall        Kind = 18
+	KindJobReply       Kind = 19
+	KindQueueCounts    Kind = 20
+	KindHandOver       Kind = 21
+	KindRunsQuery      Kind = 22
+)
+
+// kind is what a frame needs to know of a kind of message.
+type kind struct {
+	name string         // in metric labels; it stays when the Go type is renamed
+	new  func() Message // an empty message to read into
+}
+
+// kinds holds every kind by its number; there is none of number 0.
+var kinds = [...]kind{
+	KindHello:          {"hello", func() Message { return &Hello{} }},
+	KindPlace:          {"place", func() Message { return &Place{} }},
+	KindCancel:         {"cancel", func() Message { return &Cancel{} }},
+	KindResults:        {"results", func() Message { return &Results{} }},
+	KindClaim:          {"claim", func() Message { return &Claim{} }},
+	KindClaimed:        {"claim_reply", func() Message { return &ClaimReply{} }},
+	KindFetch:          {"fetch", func() Message { return &Fetch{} }},
+	KindFetched:        {"fetched", func() Message { return &Fetched{} }},
+	KindPing:           {"ping", func() Message { return &Ping{} }},
+	KindLeave:          {"leave_ack", func() Message { return &LeaveAck{} }},
+	KindOwnerHeartbeat: {"owner_heartbeat", func() Message { return &OwnerHeartbeat{} }},
+	KindWorkerStatus:   {"worker_status", func() Message { return &WorkerStatus{} }},
+	KindStartRuns:      {"start_runs", func() Message { return &StartRuns{} }},
+	KindStopRuns:       {"stop_runs", func() Message { return &StopRuns{} }},
+	KindRunEnds:        {"run_ends", func() Message { return &RunEnds{} }},
+	KindEndsKept:       {"ends_kept", func() Message { return &EndsKept{} }},
+	KindPartitionRuns:  {"partition_runs", func() Message { return &PartitionRuns{} }},
+	KindJobCall:        {"job_call", func() Message { return &JobCall{} }},
+	KindJobReply:       {"job_reply", func() Message { return &JobReply{} }},
+	KindQueueCounts:    {"queue_counts", func() Message { return &QueueCounts{} }},
+	KindHandOver:       {"hand_over", func() Message { return &HandOver{} }},
+	KindRunsQuery:      {"claim_runs", func() Message { return &RunsQuery{} }},
+}
+
+// String returns the kind's name, as used in metric labels.
+func (k Kind) String() string {
+	if !k.known() {
+		return "unknown"
+	}
+	return kinds[k].name
+}
+
+// Kinds returns all kinds of message, by their numbers.
+func Kinds() []Kind {
+	var out []Kind
+	for k := range Kind(len(kinds)) {
+		if k.known() {
+			out = append(out, k)
+		}
+	}
+	return out
+}
+
+func (k Kind) known() bool { return int(k) < len(kinds) && kinds[k].new != nil }
+
+// newMessage returns an empty message of the kind, or nil for one that is not
+// known.
+func newMessage(k Kind) Message {
+	if !k.known() {
+		return nil
+	}
+	return kinds[k].new()
+}
+
+// Message is what a frame carries.
+type Message interface {
+	WireKind() Kind
+	MarshalMsg(b []byte) ([]byte, error)
+	UnmarshalMsg(b []byte) ([]byte, error)
+}
+
+// WireKind returns KindHello.
+func (*Hello) WireKind() Kind { return KindHello }
+
+// WireKind returns KindPlace.
+func (*Place) WireKind() Kind { return KindPlace }
+
+// WireKind returns KindCancel.
+func (*Cancel) WireKind() Kind { return KindCancel }
+
+// WireKind returns KindResults.
+func (*Results) WireKind() Kind { return KindResults }
+
+// WireKind returns KindClaim.
+func (*Claim) WireKind() Kind { return KindClaim }
+
+// WireKind returns KindClaimed.
+func (*ClaimReply) WireKind() Kind { return KindClaimed }
+
+// WireKind returns KindFetch.
+func (*Fetch) WireKind() Kind { return KindFetch }
+
+// WireKind returns KindFetched.
+func (*Fetched) WireKind() Kind { return KindFetched }
+
+// WireKind returns KindPing.
+func (*Ping) WireKind() Kind { return KindPing }
+
+// WireKind returns KindLeave.
+func (*LeaveAck) WireKind() Kind { return KindLeave }
+
+// WireKind returns KindOwnerHeartbeat.
+func (*OwnerHeartbeat) WireKind() Kind { return KindOwnerHeartbeat }
+
+// WireKind returns KindWorkerStatus.
+func (*WorkerStatus) WireKind() Kind { return KindWorkerStatus }
+
+// WireKind returns KindStartRuns.
+func (*StartRuns) WireKind() Kind { return KindStartRuns }
+
+// WireKind returns KindStopRuns.
+func (*StopRuns) WireKind() Kind { return KindStopRuns }
+
+// WireKind returns KindRunEnds.
+func (*RunEnds) WireKind() Kind { return KindRunEnds }
+
+// WireKind returns KindEndsKept.
+func (*EndsKept) WireKind() Kind { return KindEndsKept }
+
+// WireKind returns KindPartitionRuns.
+func (*PartitionRuns) WireKind() Kind { return KindPartitionRuns }
+
+// WireKind returns KindJobCall.
+func (*JobCall) WireKind() Kind { return KindJobCall }
+
+// WireKind returns KindJobReply.
+func (*JobReply) WireKind() Kind { return KindJobReply }
+
+// WireKind returns KindQueueCounts.
+func (*QueueCounts) WireKind() Kind { return KindQueueCounts }
+
+// WireKind returns KindHandOver.
+func (*HandOver) WireKind() Kind { return KindHandOver }
+
+// WireKind returns KindRunsQuery.
+func (*RunsQuery) WireKind() Kind { return KindRunsQuery }
