--- a/jobs/coordinator/announce.go
+++ b/jobs/coordinator/announce.go
@@ -51,18 +51,19 @@
 
 // routesDiffer returns whether a call could go to the wrong place by what the
 // others were told before.
-func routesDiffer(m, told *wire.QueueCounts) bool {
-	if !slices.Equal(m.Partitions, told.Partitions) {
+func routesDiffer(m, before *wire.QueueCounts) bool {
+	if !slices.Equal(m.Partitions, before.Partitions) {
 		return true
 	}
 	for _, id := range m.BestEffort {
-		if _, known := slices.BinarySearch(told.BestEffort, id); !known {
+		if _, known := slices.BinarySearch(before.BestEffort, id); !known {
 			return true
 		}
 	}
 	return false
 }
 
+// sumCounts adds up the waiting jobs of all coordinators, by queue.
 func (c *Coordinator) sumCounts(mine map[string]uint32) {
 	all := maps.Clone(mine)
 	for _, counts := range c.counts {
@@ -73,21 +74,18 @@
 	c.waiting.Store(&all)
 }
 
+// announcementHeard takes what another coordinator has. It replaces all that it
+// said before.
 func (c *Coordinator) announcementHeard(from string, m *wire.QueueCounts) {
 	counts := make(map[string]uint32, len(m.Counts))
 	for _, q := range m.Counts {
 		counts[q.Queue] = q.Jobs
 	}
 	c.counts[from] = counts
-	c.forgetHeld(from)
+	c.forgetRoutes(from)
 	for _, id := range m.BestEffort {
 		c.heldBy[id] = from
 	}
-	for p, r := range c.remote {
-		if r.address == from {
-			delete(c.remote, p)
-		}
-	}
 	for _, p := range m.Partitions {
 		if r, ok := c.remote[p.Partition]; !ok || p.Epoch >= r.epoch {
 			c.remote[p.Partition] = route{from, p.Epoch}
@@ -98,17 +96,17 @@
 // peerLost forgets what a coordinator said that cannot be reached.
 func (c *Coordinator) peerLost(from string) {
 	delete(c.counts, from)
+	c.forgetRoutes(from)
+	c.failForwarded(from)
+}
+
+// forgetRoutes forgets which partitions and best-effort jobs the coordinator had.
+func (c *Coordinator) forgetRoutes(from string) {
 	for p, r := range c.remote {
 		if r.address == from {
 			delete(c.remote, p)
 		}
 	}
-	c.forgetHeld(from)
-	c.failForwarded(from)
-}
-
-// forgetHeld forgets the best-effort jobs that the coordinator had.
-func (c *Coordinator) forgetHeld(from string) {
 	for id, address := range c.heldBy {
 		if address == from {
 			delete(c.heldBy, id)
--- a/jobs/coordinator/group.go
+++ b/jobs/coordinator/group.go
@@ -55,6 +55,7 @@
 	}
 }
 
+// release lets a partition go, whether it is read, ours or neither.
 func (c *Coordinator) release(now time.Time, partition uint32, reason string) {
 	if stop := c.loading[partition]; stop != nil {
 		stop()
--- a/jobs/coordinator/members.go
+++ b/jobs/coordinator/members.go
@@ -69,8 +69,8 @@
 	chosen := subset.Choose(c.cfg.Subset.Core(), c.peers.Advertised(), c.liveCoordinators(now), workers)
 	asking := c.core.Asking()
 	for _, w := range workers {
-		home, isChosen := chosen[w.Address]
-		c.core.Prefer(w.Address, preference(home, isChosen))
+		preferred, isChosen := chosen[w.Address]
+		c.core.Prefer(w.Address, preference(preferred, isChosen))
 		l := c.links[w.Address]
 		if l == nil && (asking || isChosen) {
 			c.connect(now, w.Address, wire.RoleWorker)
@@ -82,11 +82,11 @@
 	c.shareWorkers(workers)
 }
 
-func preference(home, chosen bool) scheduler.Preference {
+func preference(preferred, chosen bool) scheduler.Preference {
 	switch {
 	case !chosen:
 		return scheduler.Excluded
-	case home:
+	case preferred:
 		return scheduler.Preferred
 	}
 	return scheduler.Shared
--- a/jobs/scheduler/besteffort.go
+++ b/jobs/scheduler/besteffort.go
@@ -6,7 +6,6 @@
 
 	"github.com/lichenfall/lichenfall/jobs/durable"
 	"github.com/lichenfall/lichenfall/lib/failure"
-	"github.com/lichenfall/lichenfall/wire"
 )
 
 // submitBestEffort takes a job that is not kept. It lives as long as somebody
@@ -35,7 +34,7 @@
 	j.calls = append(j.calls, call)
 	c.bestEffort[s.ID] = j
 	c.active++
-	c.release(now, j)
+	c.readyTasks(now, j)
 }
 
 // Abandon tells the core that a caller no longer waits. A best-effort job that
@@ -74,38 +73,3 @@
 	}
 	delete(c.bestEffort, j.id)
 }
-
-// queryRuns asks a worker what became of best-effort runs that were ordered
-// before the connection broke.
-func (c *Core) queryRuns(w *worker) {
-	m := &wire.RunsQuery{}
-	w.queried = nil
-	for _, t := range w.tasks() {
-		if t.job.sub.BestEffort {
-			w.queried = append(w.queried, t)
-			m.Runs = append(m.Runs, t.ref())
-		}
-	}
-	if len(m.Runs) > 0 {
-		c.send(w.name, m)
-	}
-}
-
-// queryAnswered takes the worker's answer: what it does not know never runs.
-func (c *Core) queryAnswered(now time.Time, w *worker, m *wire.PartitionRuns) {
-	known := make(map[wire.RunRef]bool, len(m.Running)+len(m.Ended))
-	for _, ref := range m.Running {
-		known[ref] = true
-	}
-	for i := range m.Ended {
-		known[m.Ended[i].Ref] = true
-		c.end(now, w, &m.Ended[i])
-	}
-	queried := w.queried
-	w.queried = nil
-	for _, t := range queried {
-		if t.worker == w && !known[t.ref()] {
-			c.lost(now, t, RunAbsent)
-		}
-	}
-}
--- a/jobs/scheduler/commits.go
+++ b/jobs/scheduler/commits.go
@@ -152,7 +152,7 @@
 		j.calls = nil
 		c.note(Note{What: JobKept, Job: j.id, Measure: JobAgeMS, Value: j.age(now), Frequent: true})
 		if !j.state.Final() {
-			c.release(now, j)
+			c.readyTasks(now, j)
 		}
 	}
 	for i := range b.changed {
--- a/jobs/scheduler/dispatch.go
+++ b/jobs/scheduler/dispatch.go
@@ -70,11 +70,13 @@
 	return p.epoch, true
 }
 
+// orderRun adds a run of the task to the orders of the worker. One that is sent to a
+// worker with bad figures is its probe.
 func (c *Core) orderRun(now time.Time, epoch uint64, t *task, cand *candidate, orders map[*worker]*wire.StartRuns) {
 	w := cand.w
 	waits := !t.step.Need.Fits(cand.free)
 	cand.free = cand.free.Sub(t.step.Need)
-	if cand.ejected || w.stats.failing >= outlierFailing || w.stats.slowness >= outlierSlowness {
+	if w.stats.failing >= outlierFailing || w.stats.slowness >= outlierSlowness {
 		w.stats.probedAt = now
 	}
 	t.nextRun(epoch)
@@ -100,15 +102,16 @@
 	c.note(Note{What: RunOrdered, Task: t.id.String(), Run: t.run, Worker: w.name, Measure: JobAgeMS, Value: t.job.age(now), Frequent: true})
 }
 
+// assign notes that the task is with the worker.
 func (c *Core) assign(now time.Time, t *task, w *worker) {
 	t.state = taskAssigned
 	t.worker = w
-	t.sentAt = now
 	t.startSeq = 0
 	c.setBegun(now, t.job, t.job.assigned+1, t.job.ran)
 	w.assigned[t] = struct{}{}
 }
 
+// unassign notes that the task is with no worker any more.
 func (c *Core) unassign(now time.Time, t *task) {
 	if t.worker == nil {
 		return
@@ -121,6 +124,7 @@
 	}
 }
 
+// stop orders the end of the task's run.
 func (c *Core) stop(t *task) {
 	if t.worker.up {
 		c.send(t.worker.name, &wire.StopRuns{Runs: []wire.RunRef{t.ref()}})
--- a/jobs/scheduler/ends.go
+++ b/jobs/scheduler/ends.go
@@ -90,7 +90,7 @@
 		return
 	}
 	if j.stepLeft[t.id.Step] == 0 {
-		c.release(now, j)
+		c.readyTasks(now, j)
 	}
 }
 
--- a/jobs/scheduler/partition.go
+++ b/jobs/scheduler/partition.go
@@ -161,7 +161,7 @@
 	for _, j := range ordered.Values(p.jobs) {
 		if j.unsettled {
 			j.unsettled = false
-			c.release(now, j)
+			c.readyTasks(now, j)
 		}
 	}
 }
--- /dev/null
+++ b/jobs/scheduler/preference.go
@@ -0,0 +1,29 @@
+package scheduler
+
+import "slices"
+
+// Preference says whether new tasks go to a worker.
+type Preference uint8
+
+// The preferences.
+const (
+	Shared    Preference = iota // as other coordinators may: where there is more room
+	Preferred                   // first of all: others prefer other workers, so that we know best what is free there
+	Excluded                    // none; what it has goes on
+)
+
+// Prefer tells the core of its preference for a worker, which is Shared at
+// first.
+func (c *Core) Prefer(name string, p Preference) {
+	w := c.workers[name]
+	if w == nil || w.preference == p {
+		return
+	}
+	if w.preference == Excluded {
+		c.eligible = insertByName(c.eligible, w)
+	}
+	w.preference = p
+	if p == Excluded {
+		c.eligible = slices.DeleteFunc(c.eligible, func(o *worker) bool { return o == w })
+	}
+}
--- a/jobs/scheduler/ready.go
+++ b/jobs/scheduler/ready.go
@@ -37,7 +37,7 @@
 	heap.Push(t.heap, t)
 }
 
-// moveOverdue moves the tasks whose due time is over to the late ones.
+// moveOverdue moves the tasks whose due time is over to the overdue ones.
 func (q *readyQueue) moveOverdue(now time.Time) {
 	for i := 0; i < q.onTime.Len(); {
 		t := q.onTime.tasks[i]
@@ -71,8 +71,8 @@
 	}
 }
 
-// release makes the tasks ready whose turn has come.
-func (c *Core) release(now time.Time, j *job) {
+// readyTasks lets the tasks of a job wait for a worker whose earlier steps are done.
+func (c *Core) readyTasks(now time.Time, j *job) {
 	if !j.accepted || j.unsettled || j.state.Final() {
 		return
 	}
--- a/jobs/scheduler/task.go
+++ b/jobs/scheduler/task.go
@@ -24,13 +24,12 @@
 	id        durable.TaskID
 	step      *durable.Step
 	state     taskState
-	starts    uint32   // runs ordered under this epoch
-	run       uint32   // the newest run
-	failures  []uint32 // runs that failed
-	straggles int      // runs that were stopped as stragglers
-	avoid     []string // workers where a run failed or straggled
-	worker    *worker  // while assigned
-	sentAt    time.Time
+	starts    uint32    // runs ordered under this epoch
+	run       uint32    // the newest run
+	failures  []uint32  // runs that failed
+	straggles int       // runs that were stopped as stragglers
+	avoid     []string  // workers where a run failed or straggled
+	worker    *worker   // while assigned
 	startSeq  uint64    // of the StartRuns that carried it
 	check     string    // checkpoint to resume from
 	due       time.Time // by when it has to begin for the job to be on time
@@ -61,8 +60,8 @@
 	return now.After(t.due)
 }
 
-// runsPerEpoch is the room for run numbers that each owner of a partition has;
-// more than one task is ever started under one. Chosen, not measured.
+// runsPerEpoch is how many run numbers of a task each owner of a partition may
+// use. Chosen, not measured: far more starts than a task ever needs.
 const runsPerEpoch = 64
 
 // nextRun returns the number of the task's next run. Numbers of a later owner
--- a/jobs/scheduler/workers.go
+++ b/jobs/scheduler/workers.go
@@ -59,49 +59,6 @@
 	}
 }
 
-// Preference says whether new tasks go to a worker.
-type Preference uint8
-
-// The preferences.
-const (
-	Shared    Preference = iota // as other coordinators may: where there is more room
-	Preferred                   // first of all: others prefer other workers, so that we know best what is free there
-	Excluded                    // none; what it has goes on
-)
-
-// Prefer tells the core of its preference for a worker, which is Shared at
-// first.
-func (c *Core) Prefer(name string, p Preference) {
-	w := c.workers[name]
-	if w == nil || w.preference == p {
-		return
-	}
-	if w.preference == Excluded {
-		c.eligible = insertByName(c.eligible, w)
-	}
-	w.preference = p
-	if p == Excluded {
-		c.eligible = slices.DeleteFunc(c.eligible, func(o *worker) bool { return o == w })
-	}
-}
-
-// Busy returns whether the worker has tasks of ours, or may have.
-func (c *Core) Busy(name string) bool {
-	w := c.workers[name]
-	return w != nil && len(w.assigned) > 0
-}
-
-// Asking returns whether workers are still to tell what they have of a
-// partition.
-func (c *Core) Asking() bool {
-	for _, p := range c.partitions {
-		if len(p.asked) > 0 {
-			return true
-		}
-	}
-	return false
-}
-
 // WorkerUp tells the core of a new connection to a worker.
 func (c *Core) WorkerUp(now time.Time, name, dataCentre string) {
 	c.WorkerKnown(now, name)
@@ -169,8 +126,8 @@
 	c.send(w.name, &wire.OwnerHeartbeat{Seq: w.beatSeq, Echo: w.status.Stamp, Partitions: c.Partitions()})
 }
 
-// tickWorkers sends heartbeats, gives up silent connections, and ends what
-// silent workers had once it is dead.
+// tickWorkers sends heartbeats, gives up silent connections, and writes off what
+// workers had that cannot be reached.
 func (c *Core) tickWorkers(now time.Time) {
 	for _, w := range c.order {
 		if w.up && now.Sub(w.heardAt) > c.cfg.Suspect {
@@ -187,85 +144,10 @@
 	}
 }
 
-// lost frees a task whose run has certainly ended, or never began, without a word
-// of how: it is ordered again.
-func (c *Core) lost(now time.Time, t *task, what Decision) {
-	c.note(Note{What: what, Task: t.id.String(), Run: t.run, Worker: t.worker.name})
-	c.setBegun(now, t.job, t.job.assigned, true)
-	c.unassign(now, t)
-	c.enqueue(now, t)
-}
-
-// writeOff frees the tasks of a worker whose leases are over.
-func (c *Core) writeOff(now time.Time, w *worker) {
-	silent := now.Sub(w.beatAt)
-	for _, t := range w.tasks() {
-		after := c.cfg.WriteOff
-		if t.job.sub.BestEffort {
-			after = c.cfg.BestEffortWriteOff
-		}
-		if silent > after {
-			c.lost(now, t, RunWrittenOff)
-		}
-	}
-}
-
-// Runs takes all that a worker knows of a partition, or of the best-effort runs
-// that we asked about.
-func (c *Core) Runs(now time.Time, name string, m *wire.PartitionRuns) {
+// Busy returns whether the worker has tasks of ours, or may have.
+func (c *Core) Busy(name string) bool {
 	w := c.workers[name]
-	if w != nil && m.Partition == wire.BestEffortRuns {
-		c.queryAnswered(now, w, m)
-		return
-	}
-	p := c.partitions[m.Partition]
-	if w == nil || p == nil || p.epoch != m.Epoch {
-		return
-	}
-	known := make(map[wire.RunRef]bool, len(m.Running))
-	for _, ref := range m.Running {
-		known[ref] = true
-		c.found(now, w, p, ref)
-	}
-	for _, e := range m.Ended {
-		known[e.Ref] = true
-		c.end(now, w, &e)
-	}
-	for _, t := range w.tasks() {
-		if t.startSeq > m.StartSeq {
-			continue // ordered after the worker wrote this
-		}
-		if !t.job.sub.BestEffort && t.id.Job.Partition(c.cfg.Partitions) == m.Partition && !known[t.ref()] {
-			c.lost(now, t, RunAbsent)
-		}
-	}
-	delete(p.asked, name)
-	if len(p.asked) == 0 {
-		c.settle(now, p)
-	}
-}
-
-// found takes a run that a worker has: that of an earlier owner is taken over,
-// one that is not wanted is stopped.
-func (c *Core) found(now time.Time, w *worker, p *partition, ref wire.RunRef) {
-	j := p.jobs[ref.Task.Job]
-	if j == nil || j.state.Final() {
-		c.send(w.name, &wire.StopRuns{Runs: []wire.RunRef{ref}})
-		return
-	}
-	t := j.find(ref.Task)
-	switch {
-	case t == nil || t.state == taskDone:
-		c.send(w.name, &wire.StopRuns{Runs: []wire.RunRef{ref}})
-	case t.state == taskAssigned && t.worker == w && t.run == ref.Run:
-	case t.state == taskAssigned:
-		c.send(w.name, &wire.StopRuns{Runs: []wire.RunRef{ref}})
-	default:
-		c.unqueue(t)
-		t.run = ref.Run
-		c.assign(now, t, w)
-		c.note(Note{What: RunTakenOver, Task: t.id.String(), Run: t.run, Worker: w.name})
-	}
+	return w != nil && len(w.assigned) > 0
 }
 
 // SendFailed tells the core that a message could not be sent to the worker.
--- a/jobs/subset/subset.go
+++ b/jobs/subset/subset.go
@@ -26,10 +26,10 @@
 }
 
 // Choose returns the addresses of the workers that one of the coordinators, self,
-// keeps connections to, and of each whether it is one of its home workers. The
+// keeps connections to, and of each whether it is to be preferred. The
 // workers of a service form a ring in the order of the hashes of their
 // addresses; the coordinators divide it evenly, and each takes the workers from
-// its place on. Those up to the next coordinator's place are its home. Lost ones
+// its place on. Those up to the next coordinator's place are preferred. Lost ones
 // are taken beside those that count. So the connections of one process do not
 // grow with all processes, and no worker is left out as long as the coordinators
 // know of each other.
@@ -38,11 +38,11 @@
 	chosen = make(map[string]bool)
 	for _, ring := range rings(workers) {
 		start := place * len(ring) / count
-		homes := (place+1)*len(ring)/count - start
+		preferred := (place+1)*len(ring)/count - start
 		left := cfg.sizeFor(len(ring), count)
 		for i := 0; i < len(ring) && left > 0; i++ {
 			w := ring[(start+i)%len(ring)]
-			chosen[w.Address] = i < homes
+			chosen[w.Address] = i < preferred
 			if !w.Lost {
 				left--
 			}
