--- a/layout_test.go
+++ b/layout_test.go
@@ -6,6 +6,7 @@
 	"io/fs"
 	"os"
 	"path/filepath"
+	"regexp"
 	"slices"
 	"strconv"
 	"strings"
@@ -113,6 +114,37 @@
 	})
 }
 
+// named finds a file and the functions named after it in a page: `file.go` `f`, `g`.
+var named = regexp.MustCompile("`([a-z/]+\\.go)`((?:[ ,]*`[A-Za-z]+`)*)")
+
+// TestPagesNameWhatExists holds the pages that an engineer on call follows into the
+// code.
+func TestPagesNameWhatExists(t *testing.T) {
+	for _, page := range []string{"docs/DECISIONS.md", "docs/ARCHITECTURE.md", "docs/OPERATIONS.md"} {
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, m := range named.FindAllStringSubmatch(string(text), -1) {
+			checkNamed(t, page, m[1], m[2])
+		}
+	}
+}
+
+// checkNamed checks that a file of the repository has the functions.
+func checkNamed(t *testing.T, page, file, functions string) {
+	code, err := os.ReadFile(filepath.FromSlash(file))
+	if err != nil {
+		t.Errorf("%s: %v", page, err)
+		return
+	}
+	for _, name := range strings.FieldsFunc(functions, func(r rune) bool { return strings.ContainsRune(" ,`", r) }) {
+		if !regexp.MustCompile(`\nfunc (\([^)]*\) )?` + name + `[\[(]`).Match(code) {
+			t.Errorf("%s: %s has no function %s", page, file, name)
+		}
+	}
+}
+
 // walk calls f for each file of code that is no test.
 func walk(t *testing.T, f func(file, pkg string, imports []string)) {
 	seen := make(map[string]bool)
--- a/submissions/soak/soak_test.go
+++ b/submissions/soak/soak_test.go
@@ -3,7 +3,7 @@
 // Package soak runs real processes on loopback under load, kills and pauses
 // them, and checks the promises from two things alone: the journals of the
 // stand-in backend servers, and what callers were told. It is no part of the
-// ordinary tests: make soak.
+// ordinary tests: make soak-submissions.
 package soak
 
 import (
