--- a/config/scheduler.go
+++ b/config/scheduler.go
@@ -10,7 +10,7 @@
 type Scheduler struct {
 	Partitions uint32   `json:"partitions"` // of the store, the same everywhere; the users' platform sets it
 	Heartbeat  Duration `json:"heartbeat"`  // to each worker; chosen, not measured: an eighth of the owner lease
-	// Suspect is the silence after which a worker is dialled anew. Chosen, not
+	// Suspect is the silence after which a worker is connected to again. Chosen, not
 	// measured: three heartbeats and some.
 	Suspect Duration `json:"suspect"`
 	// The leases are those of the workers' section runs, which says where they come
--- a/jobs/coordinator/members.go
+++ b/jobs/coordinator/members.go
@@ -49,7 +49,7 @@
 }
 
 const (
-	// chooseEvery is how often the workers to connect to are chosen anew; they are
+	// chooseEvery is how often the workers to connect to are chosen again; they are
 	// as soon as the registered processes change, too. Chosen, not measured.
 	chooseEvery = time.Second
 	// workerLostAfter is how long a worker without connection still counts among
--- a/jobs/scheduler/candidates.go
+++ b/jobs/scheduler/candidates.go
@@ -12,7 +12,7 @@
 // when all were looked at, 15.7 us with 64 (BenchmarkTask).
 const maxCandidates = 64
 
-// candidate is a worker with what is free there, as far as we know.
+// candidate is a worker with what we believe is free there.
 type candidate struct {
 	w       *worker
 	free    durable.Resources
--- a/jobs/scheduler/decisions.go
+++ b/jobs/scheduler/decisions.go
@@ -13,7 +13,7 @@
 	JobRefused         Decision = "job_refused"         // on arrival: it would have waited too long
 	JobGivenUp         Decision = "job_given_up"        // it had not begun in time
 	RunOrdered         Decision = "run_ordered"         // sent to a worker
-	RunEnded           Decision = "run_ended"           // by the worker's word
+	RunEnded           Decision = "run_ended"           // reported by its worker
 	RunAbsent          Decision = "run_absent"          // the worker does not know it: it never began
 	RunWrittenOff      Decision = "run_written_off"     // its worker is dead for certain
 	RunTakenOver       Decision = "run_taken_over"      // found at a worker, from an earlier owner
--- a/lib/peer/fault.go
+++ b/lib/peer/fault.go
@@ -32,7 +32,7 @@
 
 // clockOK returns whether the peer's clock at its hello is within the bound of
 // ours now. A hello that was long on the way looks like a wrong clock; the
-// connection is then made anew.
+// connection is then made again.
 func clockOK(h *wire.Hello, now time.Time, bound time.Duration) bool {
 	return now.Sub(time.UnixMicro(h.UnixMicros)).Abs() <= bound
 }
--- a/wire/jobs.go
+++ b/wire/jobs.go
@@ -116,7 +116,7 @@
 	Ref        RunRef
 	How        uint8 // an End
 	Checkpoint string
-	RunMS      int64  // how long it ran, as far as the worker knows
+	RunMS      int64  // how long the worker saw it running
 	Reason     string // of EndNotRun
 }
 
