--- a/config/placement.go
+++ b/config/placement.go
@@ -6,11 +6,13 @@
 type Placement struct {
 	// Choices is the number of agents drawn at random, of which the least
 	// loaded is taken; 0 looks at all in a pool of up to 64 agents, and draws 16
-	// of a larger one.
+	// of a larger one. Other values lost the measurement (docs/measurements/0003) and
+	// stay for operators who have set them.
 	Choices int `json:"choices"`
 	// Bounces is how often a task may be handed back by an agent that holds more
 	// tasks than the entry thought, Slack how many more are borne. They buy
-	// response time with messages.
+	// response time with messages. Slack above 0 lost the measurement and stays for
+	// operators who have set it.
 	Bounces int `json:"bounces"`
 	Slack   int `json:"slack"`
 	// Worse is how many times as slow as the median of its pool a backend server
