--- a/commands/dev.go
+++ b/commands/dev.go
@@ -85,7 +85,7 @@
 
 func (c *devCommand) greet(cluster *local.Cluster) {
 	urls := cluster.URLs()
-	fmt.Printf("lichenfall is up: %d entries, %d agents, a stand-in platform at %s\n", c.Entries, c.Agents, cluster.Platform.URL())
+	fmt.Printf("lichenfall is up: %d entries, %d agents, a stand-in box list at %s\n", c.Entries, c.Agents, cluster.BoxList.URL())
 	for _, u := range urls {
 		fmt.Println("  entry", u)
 	}
--- a/commands/fakeplatform.go
+++ b/commands/fakeboxlist.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"github.com/lichenfall/lichenfall/submissions/fakeplatform"
+	"github.com/lichenfall/lichenfall/submissions/fakeboxlist"
 )
 
 func init() {
@@ -12,17 +12,17 @@
 		summary: "Run a stand-in for the platform's box list",
 		usage: "Serves the box list that entries read. POST /admin/faults with a JSON object of outage, delay_ms, " +
 			"list_lag_ms makes it misbehave; POST /admin/boxes sets the list.",
-		flags: &fakePlatformCommand{},
+		flags: &fakeBoxListCommand{},
 	})
 }
 
-type fakePlatformCommand struct {
+type fakeBoxListCommand struct {
 	Listen string `long:"listen" default:"127.0.0.1:9100" value-name:"ADDR" description:"IP number and port"`
 }
 
 // Execute runs the command.
-func (c *fakePlatformCommand) Execute([]string) error {
-	p, err := fakeplatform.New(c.Listen)
+func (c *fakeBoxListCommand) Execute([]string) error {
+	p, err := fakeboxlist.New(c.Listen)
 	if err != nil {
 		return err
 	}
--- a/config/platform.go
+++ b/config/boxlist.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// Platform is the section on the platform's box list. An empty URL means that
+// BoxList is the section on the platform's box list; in the file it is called
+// platform. An empty URL means that
 // the agents are those of claims.holders.
-type Platform struct {
+type BoxList struct {
 	URL   string   `json:"url"`
 	Poll  Duration `json:"poll"`  // pause between readings, spread by jitter
 	Limit Duration `json:"limit"` // for one reading
 }
 
-// DefaultPlatform returns the defaults of Platform.
-func DefaultPlatform() Platform {
-	return Platform{Poll: Duration(time.Second), Limit: Duration(2 * time.Second)}
+// DefaultBoxList returns the defaults of BoxList.
+func DefaultBoxList() BoxList {
+	return BoxList{Poll: Duration(time.Second), Limit: Duration(2 * time.Second)}
 }
 
-func (p *Platform) check(c *checker) {
+func (p *BoxList) check(c *checker) {
 	if p.URL != "" {
 		c.link("platform.url", p.URL)
 	}
--- a/config/roles.go
+++ b/config/roles.go
@@ -8,7 +8,7 @@
 	Claims    Claims    `json:"claims"`
 	Jobs      Jobs      `json:"jobs"`
 	Placement Placement `json:"placement"`
-	Platform  Platform  `json:"platform"`
+	BoxList   BoxList   `json:"platform"`
 	Log       Log       `json:"log"`
 }
 
@@ -22,7 +22,7 @@
 		Claims:    DefaultClaims(),
 		Jobs:      DefaultJobs(),
 		Placement: DefaultPlacement(),
-		Platform:  DefaultPlatform(),
+		BoxList:   DefaultBoxList(),
 		Log:       DefaultLog(),
 	}
 }
--- a/jobs/scheduler/retries.go
+++ b/jobs/scheduler/retries.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"strings"
 	"time"
 
 	"github.com/lichenfall/lichenfall/jobs/durable"
@@ -42,7 +43,7 @@
 		Task:     t.id.String(),
 		Run:      t.run,
 		Worker:   w.name,
-		Reason:   how.String() + " " + e.Reason,
+		Reason:   strings.TrimSpace(how.String() + " " + e.Reason),
 		Measure:  RunMS,
 		Value:    e.RunMS,
 		Frequent: how == wire.EndDone || how == wire.EndNotRun,
--- a/jobs/worker/perform.go
+++ b/jobs/worker/perform.go
@@ -8,6 +8,7 @@
 
 	"github.com/lichenfall/lichenfall/jobs/runtable"
 	"github.com/lichenfall/lichenfall/lib/loop"
+	"github.com/lichenfall/lichenfall/wire"
 )
 
 // perform does what the table has decided.
@@ -45,7 +46,13 @@
 
 func (w *Worker) logNote(now time.Time, n *runtable.Note) {
 	w.metrics.Decision(string(n.What))
-	fields := []zap.Field{zap.String("task", n.Ref.Task.String()), zap.Uint32("run", n.Ref.Run), zap.String("reason", n.Reason)}
+	fields := make([]zap.Field, 0, 3)
+	if n.Ref != (wire.RunRef{}) {
+		fields = append(fields, zap.String("task", n.Ref.Task.String()), zap.Uint32("run", n.Ref.Run))
+	}
+	if n.Reason != "" {
+		fields = append(fields, zap.String("reason", n.Reason))
+	}
 	if n.Frequent {
 		w.log.Sampled(now, string(n.What), fields...)
 		return
--- a/submissions/entry/entry.go
+++ b/submissions/entry/entry.go
@@ -46,7 +46,7 @@
 	peerOpts    peer.Options
 	listener    *peer.Listener
 	http        *web.Server
-	platform    *boxlist.Client // nil when the settings name none
+	boxes       *boxlist.Client // nil when the settings name none
 	loop        *loop.Loop[event]
 	halt        context.Context // ends with Kill
 	kill        context.CancelFunc
@@ -86,8 +86,8 @@
 	for _, agent := range e.view.Known() {
 		e.dial(agent)
 	}
-	if cfg.Platform.URL != "" {
-		e.platform = boxlist.New(cfg.Platform.URL, cfg.Platform.Limit.D())
+	if cfg.BoxList.URL != "" {
+		e.boxes = boxlist.New(cfg.BoxList.URL, cfg.BoxList.Limit.D())
 		go e.pollBoxes()
 	}
 	e.listener.Serve(e.hello, inbound{e})
@@ -208,8 +208,8 @@
 	<-e.loop.Done()
 	e.http.Close()
 	e.listener.Close()
-	if e.platform != nil {
-		e.platform.Close()
+	if e.boxes != nil {
+		e.boxes.Close()
 	}
 	e.registry.Close()
 }
--- a/submissions/entry/links.go
+++ b/submissions/entry/links.go
@@ -87,7 +87,7 @@
 func (e *Entry) pollBoxes() {
 	var version uint64
 	for e.halt.Err() == nil {
-		list, changed, err := e.platform.Boxes(e.halt, version)
+		list, changed, err := e.boxes.Boxes(e.halt, version)
 		if err != nil {
 			e.log.Debug("box list not read", zap.Error(err))
 		}
@@ -95,7 +95,7 @@
 			version = list.Version
 			e.loop.Post(event{kind: evBoxes, boxes: list})
 		}
-		e.pause(e.cfg.Platform.Poll.D())
+		e.pause(e.cfg.BoxList.Poll.D())
 	}
 }
 
--- a/submissions/fakeplatform/platform.go
+++ b/submissions/fakeboxlist/boxlist.go
@@ -1,7 +1,7 @@
-// Package fakeplatform is a stand-in for the service that tells entries which
+// Package fakeboxlist is a stand-in for the service that tells entries which
 // boxes there are. It lags behind, and fails when told to: outages and slow
 // answers. It owns the list that it was given.
-package fakeplatform
+package fakeboxlist
 
 import (
 	"net/http"
@@ -22,8 +22,8 @@
 	ListLagMS float64 `json:"list_lag_ms"` // before a change of the box list shows
 }
 
-// Platform is a running stand-in.
-type Platform struct {
+// List is a running stand-in.
+type List struct {
 	srv *web.Server
 
 	mu     sync.Mutex
@@ -41,52 +41,52 @@
 const maxConns = 4096
 
 // New starts a stand-in that listens on the address.
-func New(listen string) (*Platform, error) {
-	p := &Platform{}
+func New(listen string) (*List, error) {
+	l := &List{}
 	e := web.NewEcho()
-	e.GET("/v1/boxes", p.guard(p.boxes))
-	e.POST("/admin/faults", p.postFaults)
-	e.POST("/admin/boxes", p.postBoxes)
+	e.GET("/v1/boxes", l.guard(l.boxes))
+	e.POST("/admin/faults", l.postFaults)
+	e.POST("/admin/boxes", l.postBoxes)
 	limits := web.DefaultLimits()
 	limits.Conns = maxConns
 	srv, err := web.Listen(listen, e, limits)
 	if err != nil {
 		return nil, err
 	}
-	p.srv = srv
-	return p, nil
+	l.srv = srv
+	return l, nil
 }
 
 // URL returns where it is reached.
-func (p *Platform) URL() string { return "http://" + p.srv.Addr() }
+func (l *List) URL() string { return "http://" + l.srv.Addr() }
 
 // Close ends it at once.
-func (p *Platform) Close() { p.srv.Close() }
+func (l *List) Close() { l.srv.Close() }
 
 // SetFaults changes how it misbehaves.
-func (p *Platform) SetFaults(f Faults) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.faults = f
+func (l *List) SetFaults(f Faults) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.faults = f
 }
 
 // SetBoxes changes the box list; it shows after the lag.
-func (p *Platform) SetBoxes(boxes []membership.Box) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (l *List) SetBoxes(boxes []membership.Box) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	version := uint64(1)
-	if n := len(p.lists); n > 0 {
-		version = p.lists[n-1].list.Version + 1
+	if n := len(l.lists); n > 0 {
+		version = l.lists[n-1].list.Version + 1
 	}
-	p.lists = append(p.lists, listed{time.Now(), membership.BoxList{Version: version, Boxes: boxes}})
+	l.lists = append(l.lists, listed{time.Now(), membership.BoxList{Version: version, Boxes: boxes}})
 }
 
 // guard applies outage and delay to a call.
-func (p *Platform) guard(h echo.HandlerFunc) echo.HandlerFunc {
+func (l *List) guard(h echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		p.mu.Lock()
-		f := p.faults
-		p.mu.Unlock()
+		l.mu.Lock()
+		f := l.faults
+		l.mu.Unlock()
 		if f.Outage {
 			return c.String(http.StatusServiceUnavailable, "outage\n")
 		}
@@ -95,12 +95,12 @@
 	}
 }
 
-func (p *Platform) boxes(c echo.Context) error {
+func (l *List) boxes(c echo.Context) error {
 	after, err := strconv.ParseUint(c.QueryParam("after"), 10, 64)
 	if err != nil {
 		return c.String(http.StatusBadRequest, "after: not a version\n")
 	}
-	list := p.visible(time.Now())
+	list := l.visible(time.Now())
 	if list.Version == after {
 		return c.NoContent(http.StatusNotModified)
 	}
@@ -108,32 +108,32 @@
 }
 
 // visible returns the newest list that is older than the lag.
-func (p *Platform) visible(now time.Time) membership.BoxList {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	lag := time.Duration(p.faults.ListLagMS * float64(time.Millisecond))
-	for i := len(p.lists) - 1; i >= 0; i-- {
-		if now.Sub(p.lists[i].at) >= lag {
-			return p.lists[i].list
+func (l *List) visible(now time.Time) membership.BoxList {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	lag := time.Duration(l.faults.ListLagMS * float64(time.Millisecond))
+	for i := len(l.lists) - 1; i >= 0; i-- {
+		if now.Sub(l.lists[i].at) >= lag {
+			return l.lists[i].list
 		}
 	}
 	return membership.BoxList{}
 }
 
-func (p *Platform) postFaults(c echo.Context) error {
+func (l *List) postFaults(c echo.Context) error {
 	var f Faults
 	if ok, err := web.Read(c, &f); !ok {
 		return err
 	}
-	p.SetFaults(f)
+	l.SetFaults(f)
 	return c.NoContent(http.StatusNoContent)
 }
 
-func (p *Platform) postBoxes(c echo.Context) error {
+func (l *List) postBoxes(c echo.Context) error {
 	var boxes []membership.Box
 	if ok, err := web.Read(c, &boxes); !ok {
 		return err
 	}
-	p.SetBoxes(boxes)
+	l.SetBoxes(boxes)
 	return c.NoContent(http.StatusNoContent)
 }
--- a/submissions/local/cluster.go
+++ b/submissions/local/cluster.go
@@ -14,7 +14,7 @@
 	"github.com/lichenfall/lichenfall/submissions/agent"
 	"github.com/lichenfall/lichenfall/submissions/entry"
 	"github.com/lichenfall/lichenfall/submissions/fakebackend"
-	"github.com/lichenfall/lichenfall/submissions/fakeplatform"
+	"github.com/lichenfall/lichenfall/submissions/fakeboxlist"
 	"github.com/lichenfall/lichenfall/submissions/membership"
 )
 
@@ -42,7 +42,7 @@
 
 // Cluster is a running system.
 type Cluster struct {
-	Platform *fakeplatform.Platform
+	BoxList  *fakeboxlist.List
 	Backends []*fakebackend.Backend
 	Agents   []*agent.Agent
 	Entries  []*entry.Entry
@@ -68,7 +68,7 @@
 
 func (c *Cluster) start(ctx context.Context) error {
 	var err error
-	if c.Platform, err = fakeplatform.New(ports.Any); err != nil {
+	if c.BoxList, err = fakeboxlist.New(ports.Any); err != nil {
 		return err
 	}
 	if c.holders, err = ports.Free(c.opts.Agents); err != nil {
@@ -79,7 +79,7 @@
 			return err
 		}
 	}
-	c.Platform.SetBoxes(c.boxes)
+	c.BoxList.SetBoxes(c.boxes)
 	for i := range c.opts.Entries {
 		if err := c.addEntry(i); err != nil {
 			return err
@@ -134,7 +134,7 @@
 	cfg.Claims.Holders = c.holders
 	cfg.Jobs.Workspaces = []string{Workspace}
 	cfg.Jobs.Pools = []string{Pool}
-	cfg.Platform.URL = c.Platform.URL()
+	cfg.BoxList.URL = c.BoxList.URL()
 	if c.opts.Entry != nil {
 		c.opts.Entry(cfg)
 	}
@@ -229,8 +229,8 @@
 	for _, b := range c.Backends {
 		b.Close()
 	}
-	if c.Platform != nil {
-		c.Platform.Close()
+	if c.BoxList != nil {
+		c.BoxList.Close()
 	}
 }
 
--- a/submissions/local/local_test.go
+++ b/submissions/local/local_test.go
@@ -19,7 +19,7 @@
 	"github.com/lichenfall/lichenfall/lib/logging"
 	"github.com/lichenfall/lichenfall/submissions/client"
 	"github.com/lichenfall/lichenfall/submissions/fakebackend"
-	"github.com/lichenfall/lichenfall/submissions/fakeplatform"
+	"github.com/lichenfall/lichenfall/submissions/fakeboxlist"
 	"github.com/lichenfall/lichenfall/submissions/job"
 	"github.com/lichenfall/lichenfall/submissions/local"
 	"github.com/lichenfall/lichenfall/submissions/membership"
@@ -296,14 +296,14 @@
 
 	It("works on while the platform is out, and obeys its word on leaving boxes (hazards 24 and 25)", func() {
 		s := start(1, 3, func(o *local.Options) {
-			o.Entry = func(c *config.Entry) { c.Platform.Poll = config.Duration(50 * time.Millisecond) }
+			o.Entry = func(c *config.Entry) { c.BoxList.Poll = config.Duration(50 * time.Millisecond) }
 		})
 		boxes := make([]membership.Box, 3)
 		for i := range boxes {
 			boxes[i] = membership.Box{Name: fmt.Sprint(i), Address: s.Agents[i].Addr(), State: membership.Live}
 		}
 		boxes[0].State = membership.Leaving
-		s.Platform.SetBoxes(boxes)
+		s.BoxList.SetBoxes(boxes)
 		leaving := func() bool {
 			var state struct {
 				Agents []struct{ Leaving bool }
@@ -319,8 +319,8 @@
 		}
 		Eventually(leaving, long).Should(BeTrue())
 		before := len(s.Backends[0].Journal())
-		s.Platform.SetBoxes(nil)
-		s.Platform.SetFaults(fakeplatform.Faults{Outage: true})
+		s.BoxList.SetBoxes(nil)
+		s.BoxList.SetFaults(fakeboxlist.Faults{Outage: true})
 		for range 5 {
 			Expect(s.submit(0, request(repeat(9, `1`)...)).State).To(Equal(job.Complete))
 		}
