--- a/jobs/scheduler/admission.go
+++ b/jobs/scheduler/admission.go
@@ -11,11 +11,12 @@
 const admitShare = 0.5
 
 // admit returns whether a best-effort job can be thought to begin in time, with
-// how long it would wait and how long it may. It is refused at once otherwise:
-//   - there is room now for all that could begin, in whole tasks: it is taken;
-//   - there are workers that may have room and have not said so: it is taken, and
-//     waits for them;
+// how long it would wait and how long it may. It is refused at once otherwise. The
+// first of these that applies decides:
+//   - some worker may have room and has not said so, or there were workers until a
+//     moment ago: it is taken, and waits for them;
 //   - no worker of its service takes tasks: it is refused;
+//   - there is room now, in whole tasks, for all that could begin: it is taken;
 //   - else the work of the tasks that come first, over our share of the capacity,
 //     is its wait, and it may take admitShare of the slack of its first task.
 func (c *Core) admit(now time.Time, j *job) (wait, allowed time.Duration, ok bool) {
