--- a/submissions/job/submission.go
+++ b/submissions/job/submission.go
@@ -1,5 +1,6 @@
 // Package job holds what a caller submits and is answered, and the state of a
-// job at the entry that runs it. It does no I/O.
+// job at the entry that runs it. It owns the state of one job, and relies on its
+// caller to tell it of each end once. It does no I/O.
 package job
 
 import (
