--- /dev/null
+++ b/commands/faults_test.go
@@ -0,0 +1,36 @@
+package commands
+
+import (
+	"errors"
+	"testing"
+	"time"
+
+	"github.com/uber-go/tally/v4"
+	"go.uber.org/zap"
+	"go.uber.org/zap/zapcore"
+	"go.uber.org/zap/zaptest/observer"
+
+	"github.com/lichenfall/lichenfall/lib/logging"
+	"github.com/lichenfall/lichenfall/metrics"
+)
+
+// TestFaultsAreHeard reports faults of the adapter while many ordinary lines are
+// logged, at a level that hides those: each fault is heard all the same, and one
+// that comes in any number is bounded and hides no other.
+func TestFaultsAreHeard(t *testing.T) {
+	core, lines := observer.New(zapcore.WarnLevel)
+	log := &logging.Log{Logger: zap.New(core)}
+	d := &jobDaemon{log: log, metrics: metrics.NewJobs(tally.NoopScope)}
+	const many = 10_000
+	for range many {
+		log.Sampled(time.Now(), "run_ordered")
+		d.report("backend_row_skipped", errors.New("malformed"))
+	}
+	d.report("store_unread", errors.New("refused"))
+	if n := lines.FilterMessage("store_unread").Len(); n != 1 {
+		t.Errorf("%d lines of the store, 1 wanted", n)
+	}
+	if n := lines.FilterMessage("backend_row_skipped").Len(); n == 0 || n >= many/10 {
+		t.Errorf("%d lines of %d skipped rows", n, many)
+	}
+}
--- a/commands/jobdaemon.go
+++ b/commands/jobdaemon.go
@@ -62,8 +62,8 @@
 }
 
 // report counts and logs what the adapter could not read or reach. It is a
-// platform.FaultFunc; its lines are sampled, since each call may add one.
+// platform.FaultFunc.
 func (d *jobDaemon) report(what string, err error) {
 	d.metrics.Decision(what)
-	d.log.Sampled(time.Now(), what, zap.Error(err))
+	d.log.Fault(time.Now(), what, zap.Error(err))
 }
--- a/lib/logging/async.go
+++ b/lib/logging/async.go
@@ -15,6 +15,7 @@
 const (
 	asyncBytes     = 256 << 10 // that may wait to be written; chosen, not measured
 	sampledPerTick = 60        // sampled lines in each sampleTick; measured: 59 lines/s on a quiet day
+	faultsPerTick  = 5         // lines of one fault in each sampleTick; chosen, not measured
 	sampleTick     = time.Second
 	flushInterval  = 50 * time.Millisecond // between writes; chosen, not measured
 )
@@ -87,15 +88,27 @@
 	return &Log{Logger: zap.New(core), Level: l, dropped: &w.dropped}, nil
 }
 
-// Sampled logs a line of a kind that there may be many of, unless there have
-// been many in this second. The next line that is logged says how many were left out.
+// budget counts the lines of one sampleTick.
+type budget struct {
+	since time.Time
+	lines int
+}
+
+// take returns whether one more line is within the bound.
+func (b *budget) take(now time.Time, most int) bool {
+	if now.Sub(b.since) >= sampleTick {
+		*b = budget{since: now}
+	}
+	b.lines++
+	return b.lines <= most
+}
+
+// Sampled logs a line of a kind that there may be many of in ordinary work, unless
+// there have been many such lines in this second. The next line that is logged says
+// how many were left out.
 func (l *Log) Sampled(now time.Time, message string, fields ...zap.Field) {
 	l.mu.Lock()
-	if now.Sub(l.sampledSince) >= sampleTick {
-		l.sampledSince, l.sampledLines = now, 0
-	}
-	l.sampledLines++
-	if l.sampledLines > sampledPerTick {
+	if !l.sampled.take(now, sampledPerTick) {
 		l.leftOut++
 		l.mu.Unlock()
 		return
@@ -108,6 +121,26 @@
 	l.Info(message, fields...)
 }
 
+// Fault warns of something that may go wrong any number of times: the first few of
+// each message in a second. Messages are constants of the code; none takes another's
+// room, and ordinary work takes none of theirs.
+func (l *Log) Fault(now time.Time, message string, fields ...zap.Field) {
+	l.mu.Lock()
+	if l.faults == nil {
+		l.faults = make(map[string]*budget)
+	}
+	b := l.faults[message]
+	if b == nil {
+		b = &budget{}
+		l.faults[message] = b
+	}
+	within := b.take(now, faultsPerTick)
+	l.mu.Unlock()
+	if within {
+		l.Warn(message, fields...)
+	}
+}
+
 // Dropped returns the number of lines that were lost because the output did
 // not keep up.
 func (l *Log) Dropped() int64 {
--- a/lib/logging/logging.go
+++ b/lib/logging/logging.go
@@ -6,7 +6,6 @@
 import (
 	"sync"
 	"sync/atomic"
-	"time"
 
 	"github.com/zeebo/errs"
 	"go.uber.org/zap"
@@ -17,11 +16,11 @@
 	*zap.Logger
 	Level zap.AtomicLevel // also an http.Handler: GET and PUT {"level":"debug"}
 
-	dropped      *atomic.Int64
-	mu           sync.Mutex // guards what follows
-	sampledSince time.Time
-	sampledLines int
-	leftOut      int64
+	dropped *atomic.Int64
+	mu      sync.Mutex // guards what follows
+	sampled budget
+	leftOut int64              // since the last line that was sampled
+	faults  map[string]*budget // by message
 }
 
 // New returns a logger to standard error. level is debug, info, warn or error;
