--- a/config/lease_test.go
+++ b/config/lease_test.go
@@ -15,7 +15,7 @@
 		runs.BackendLease, scheduler.BackendLease = config.Duration(granted), config.Duration(granted)
 		core := runs.Core("dc")
 		Expect(core.BackendLease).To(BeNumerically("<=", time.Second))
-		Expect(core.BackendLeaseMost).To(Equal(granted))
+		Expect(core.MaxBackendLease).To(Equal(granted))
 		writtenOff := scheduler.Core("dc").BestEffortWriteOff
 		Expect(writtenOff).To(BeNumerically(">=", core.BestEffortLease+core.StopGrace+core.BackendLease), "or a task could run twice")
 		Expect(writtenOff).To(BeNumerically("<=", 2500*time.Millisecond))
--- a/jobs/fakebackend/backend.go
+++ b/jobs/fakebackend/backend.go
@@ -129,8 +129,8 @@
 }
 
 // Identify implements worker.Backend.
-func (l *Backend) Identify(context.Context) (life runtable.Life, ok bool) {
-	return runtable.Life{Instance: l.instance}, true
+func (l *Backend) Identify(context.Context) (life runtable.Incarnation, ok bool) {
+	return runtable.Incarnation{Instance: l.instance}, true
 }
 
 func (l *Backend) clock() time.Duration { return time.Since(l.born) }
@@ -177,15 +177,15 @@
 	l.settle()
 	switch {
 	case c.Instance != l.instance:
-		return runtable.StartWrongLife
+		return runtable.StartWrongIncarnation
 	case c.Token < l.token:
 		return runtable.StartFenced
 	case l.holds(c.Ref):
 		return runtable.StartAccepted
 	case c.Ref.Run <= l.newest[c.Ref.Task]:
-		return runtable.StartOld
+		return runtable.StartRunNumberUsed
 	case c.Deadline <= l.clock():
-		return runtable.StartLate
+		return runtable.StartLeaseExpired
 	}
 	l.token = c.Token
 	l.extend(c.Deadline)
--- a/jobs/promises/backend_test.go
+++ b/jobs/promises/backend_test.go
@@ -191,7 +191,7 @@
 func (b *backendNode) start(c runtable.StartCall, name string) runtable.StartResult {
 	b.settle()
 	if c.Instance != b.instance(name) {
-		return runtable.StartWrongLife
+		return runtable.StartWrongIncarnation
 	}
 	if c.Token < b.token {
 		return runtable.StartFenced
@@ -201,10 +201,10 @@
 		return runtable.StartAccepted
 	}
 	if c.Ref.Run <= b.newest[c.Ref.Task] {
-		return runtable.StartOld
+		return runtable.StartRunNumberUsed
 	}
 	if c.Deadline <= b.clock() {
-		return runtable.StartLate
+		return runtable.StartLeaseExpired
 	}
 	if b.refusing {
 		b.w.counts["refused orders"]++
@@ -310,12 +310,12 @@
 func (b *backendNode) hold(c runtable.RenewCall, name string) runtable.RenewAnswer {
 	b.settle()
 	if c.Instance != b.instance(name) {
-		return runtable.RenewAnswer{Result: runtable.RenewWrongLife}
+		return runtable.RenewAnswer{Result: runtable.RenewWrongIncarnation}
 	}
 	another := c.Born != b.bornAt()
 	if c.Token < b.token {
 		if another {
-			return runtable.RenewAnswer{Result: runtable.RenewReborn}
+			return runtable.RenewAnswer{Result: runtable.RenewRestarted}
 		}
 		return runtable.RenewAnswer{Result: runtable.RenewFenced, Clock: b.clock()}
 	}
@@ -336,7 +336,7 @@
 	b.ended = left
 	if another {
 		b.w.counts["renewals at a later life"]++
-		return runtable.RenewAnswer{Result: runtable.RenewReborn}
+		return runtable.RenewAnswer{Result: runtable.RenewRestarted}
 	}
 	a := runtable.RenewAnswer{Result: runtable.RenewOK, Clock: b.clock()}
 	for _, ref := range b.refs() {
--- a/jobs/promises/evacuation_test.go
+++ b/jobs/promises/evacuation_test.go
@@ -86,10 +86,10 @@
 	if !n.w.evacuating {
 		return
 	}
-	if n.table.EvacuationsUnheard(n.now()) {
+	if n.table.EvacuationsStale(n.now()) {
 		n.w.counts["readings of workers"]++
 		n.readNews(func(e routing.Evacuations) {
-			n.table.HearEvacuations(n.now(), e)
+			n.table.SetEvacuations(n.now(), e)
 			n.perform()
 		})
 	}
--- a/jobs/promises/worker_test.go
+++ b/jobs/promises/worker_test.go
@@ -48,7 +48,7 @@
 // ask asks the backend server whether it is the life that the call names.
 func (n *workerNode) ask(call runtable.RenewCall) {
 	n.renew(call, func(a runtable.RenewAnswer) {
-		n.table.Asked(n.now(), call, a.Result)
+		n.table.ProbeAnswered(n.now(), call, a.Result)
 		n.perform()
 	})
 }
@@ -69,7 +69,7 @@
 		n.perform()
 		next()
 	})
-	n.later(n.w.waitOf(call)+call.Patience, func() {
+	n.later(n.w.waitOf(call)+call.OverdueAfter, func() {
 		if !answered {
 			n.w.counts["overdue renewals"]++
 			n.table.RenewOverdue(call)
@@ -101,7 +101,7 @@
 	}
 	carryOut := func() runtable.RenewAnswer {
 		if !n.backend.up {
-			return runtable.RenewAnswer{Result: runtable.RenewDead}
+			return runtable.RenewAnswer{Result: runtable.RenewConnectionRefused}
 		}
 		return n.backend.hold(call, n.name)
 	}
@@ -148,7 +148,7 @@
 	n.w.after(there, func() {
 		if n.backend.refusesConnections {
 			n.w.counts["refused connections"]++
-			n.w.after(500*time.Microsecond, func() { n.post(life, func() { answer(runtable.RenewAnswer{Result: runtable.RenewDead}) }) })
+			n.w.after(500*time.Microsecond, func() { n.post(life, func() { answer(runtable.RenewAnswer{Result: runtable.RenewConnectionRefused}) }) })
 			return
 		}
 		a := carryOut()
@@ -192,8 +192,8 @@
 		}
 		return runtable.RenewAnswer{}
 	}, func(a runtable.RenewAnswer) {
-		if a.Result == runtable.RenewDead {
-			result = runtable.StartDead
+		if a.Result == runtable.RenewConnectionRefused {
+			result = runtable.StartConnectionRefused
 		}
 		finish(result)
 	})
@@ -288,8 +288,8 @@
 	for _, call := range e.Stops {
 		n.stopRun(call)
 	}
-	if e.Ask != nil {
-		n.ask(*e.Ask)
+	if e.Probe != nil {
+		n.ask(*e.Probe)
 	}
 }
 
@@ -301,16 +301,16 @@
 		n.table.Start(n.now(), c.name, m)
 	case *wire.RoomAsk:
 		n.w.counts["asks for room"]++
-		n.table.Ask(n.now(), c.name, m)
+		n.table.RequestCapacity(n.now(), c.name, m)
 	case *wire.StopRuns:
 		n.table.Stop(n.now(), c.name, m)
 	case *wire.EndsKept:
 		for _, r := range m.Runs {
 			n.w.trace(n.incarnation(), r.Task.String(), "kept run %d by %s", r.Run, c.name)
 		}
-		n.table.Kept(n.now(), c.name, m)
+		n.table.AcknowledgeEnds(n.now(), c.name, m)
 	case *wire.RunNeeds:
-		n.table.Needs(n.now(), c.name, m)
+		n.table.SetNeeds(n.now(), c.name, m)
 	case *wire.RunsQuery:
 		n.table.QueryRuns(n.now(), c.name, m)
 	}
--- a/jobs/runtable/adopted_test.go
+++ b/jobs/runtable/adopted_test.go
@@ -69,7 +69,7 @@
 			if n := len(f.take().Starts); n != 0 {
 				t.Fatalf("%d tasks were started beside a run of unknown need", n)
 			}
-			f.table.Needs(f.now, owner, &wire.RunNeeds{Runs: []wire.RunNeed{{Ref: found[0].Ref, Need: durable.Resources{CPU: test.told}}}})
+			f.table.SetNeeds(f.now, owner, &wire.RunNeeds{Runs: []wire.RunNeed{{Ref: found[0].Ref, Need: durable.Resources{CPU: test.told}}}})
 			f.order(7, ref(1, test.run), ref(2, test.run), ref(3, test.run))
 			if n := len(f.take().Starts); n != test.starts {
 				t.Fatalf("%d tasks were started beside a run that takes %d, not %d", n, test.told, test.starts)
--- a/jobs/runtable/calls.go
+++ b/jobs/runtable/calls.go
@@ -12,16 +12,16 @@
 // The results of an order to start. All but StartAccepted mean that nothing
 // was done.
 const (
-	StartUnknown   StartResult = iota // no answer: it may be carried out, also later
-	StartAccepted                     // it runs, or did already
-	StartFenced                       // a higher fencing token has been seen
-	StartOld                          // the run number was used before
-	StartLate                         // the lease asked for was over already
-	StartNoRoom                       // it does not fit
-	StartUnhealthy                    // the backend server takes nothing now
-	StartInvalid                      // it does not understand the order
-	StartWrongLife                    // another life answered
-	StartDead                         // the connection was refused
+	StartUnknown           StartResult = iota // no answer: it may be carried out, also later
+	StartAccepted                             // it runs, or did already
+	StartFenced                               // a higher fencing token has been seen
+	StartRunNumberUsed                        // the run number was used before
+	StartLeaseExpired                         // the lease asked for was over already
+	StartNoRoom                               // it does not fit
+	StartUnhealthy                            // the backend server takes nothing now
+	StartInvalid                              // it does not understand the order
+	StartWrongIncarnation                     // another life answered
+	StartConnectionRefused                    // the connection was refused
 )
 
 var startReasons = [...]string{"unknown", "accepted", "fenced", "old", "late", "no_room", "unhealthy", "invalid", "wrong_life", "dead"}
@@ -50,15 +50,15 @@
 
 // RenewCall renews the lease of all that runs and asks for news.
 type RenewCall struct {
-	Instance string // with Born, the life that is meant
-	Born     int64
-	Seq      uint64        // rises with each call
-	Deadline time.Duration // the lease's end on the backend server's clock
-	Token    uint64
-	LastSeen uint64        // ends up to this number may be forgotten
-	Wait     time.Duration // how long the answer may wait at the backend server for an end
-	Patience time.Duration // how long it may take beyond Wait before another call is made beside
-	Limit    time.Duration // how long the answer may take beyond Wait
+	Instance     string // with Born, the life that is meant
+	Born         int64
+	Seq          uint64        // rises with each call
+	Deadline     time.Duration // the lease's end on the backend server's clock
+	Token        uint64
+	LastSeen     uint64        // ends up to this number may be forgotten
+	Wait         time.Duration // how long the answer may wait at the backend server for an end
+	OverdueAfter time.Duration // how long it may take beyond Wait before another call is made beside
+	Limit        time.Duration // how long the answer may take beyond Wait
 }
 
 // RenewResult says how a RenewCall went.
@@ -69,11 +69,11 @@
 	RenewUnanswered RenewResult = iota // no answer
 	RenewOK
 	RenewFenced
-	RenewWrongLife
-	// RenewReborn is the answer of a later life that goes by the same ID: it may have
+	RenewWrongIncarnation
+	// RenewRestarted is the answer of a later life that goes by the same ID: it may have
 	// carried out the call, and others that were meant for the life before.
-	RenewReborn
-	RenewDead // the connection was refused
+	RenewRestarted
+	RenewConnectionRefused // the connection was refused
 )
 
 // ListedRun is a run that the backend server calls running.
@@ -101,11 +101,11 @@
 	Ended   []ListedEnd
 }
 
-// Life returns the life that the call is meant for.
-func (c *StartCall) Life() Life { return Life{c.Instance, c.Born} }
+// Incarnation returns the life that the call is meant for.
+func (c *StartCall) Incarnation() Incarnation { return Incarnation{c.Instance, c.Born} }
 
-// Life returns the life that the call is meant for.
-func (c *StopCall) Life() Life { return Life{c.Instance, c.Born} }
+// Incarnation returns the life that the call is meant for.
+func (c *StopCall) Incarnation() Incarnation { return Incarnation{c.Instance, c.Born} }
 
-// Life returns the life that the call is meant for.
-func (c *RenewCall) Life() Life { return Life{c.Instance, c.Born} }
+// Incarnation returns the life that the call is meant for.
+func (c *RenewCall) Incarnation() Incarnation { return Incarnation{c.Instance, c.Born} }
--- a/jobs/runtable/crash.go
+++ b/jobs/runtable/crash.go
@@ -46,7 +46,7 @@
 // runs were suspects.
 func (t *Table) crashedEnd(now time.Time, r *run, suspects int, reason string) wire.RunEnd {
 	e := r.lostEnd(now, wire.EndCrashed, reason)
-	e.Instance = t.identity.Life().String()
+	e.Instance = t.identity.Incarnation().String()
 	e.Begun = !r.started.IsZero()
 	e.Alone = r.suspect() && suspects == 1
 	return e
@@ -85,7 +85,7 @@
 		r := t.runs[ref]
 		t.silenced[ref] = crashedRun{r.lease, t.crashedEnd(now, r, suspects, reasonSilent), now}
 		e := r.lostEnd(now, wire.EndLapsed, string(LeaseLapsed))
-		e.Instance = t.identity.Life().String()
+		e.Instance = t.identity.Incarnation().String()
 		t.endRunWith(r, e)
 		delete(t.runs, ref)
 	}
--- a/jobs/runtable/crash_test.go
+++ b/jobs/runtable/crash_test.go
@@ -130,7 +130,7 @@
 		f.nextLife()
 		Expect(f.reports("conn-2", 8)).To(ConsistOf(HaveField("How", uint8(wire.EndCrashed))))
 		Expect(f.reports("conn-3", 9)).To(HaveLen(1))
-		f.table.Kept(f.now, "conn-3", &wire.EndsKept{Runs: []wire.RunRef{ref(0, 1)}})
+		f.table.AcknowledgeEnds(f.now, "conn-3", &wire.EndsKept{Runs: []wire.RunRef{ref(0, 1)}})
 		Expect(f.reports("conn-4", 10)).To(BeEmpty())
 	})
 
@@ -165,7 +165,7 @@
 	It("is not under a run whose order could not be sent", func() {
 		f := newFixture().ready()
 		f.order(7, ref(0, 1))
-		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartDead)
+		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartConnectionRefused)
 		Expect(how(ends(f.take())[0])).To(Equal(wire.EndNotRun))
 	})
 })
--- a/jobs/runtable/decisions.go
+++ b/jobs/runtable/decisions.go
@@ -27,7 +27,7 @@
 	GrantMade           Decision = "grant_made"            // kept for a task of a coordinator that asked
 	GrantUsed           Decision = "grant_used"            // orders of it were taken
 	GrantLapsed         Decision = "grant_lapsed"          // it said nothing to that, in time
-	OwnerSetAside       Decision = "owner_set_aside"       // it said nothing several times, and comes last for a while
+	OwnerDeprioritised  Decision = "owner_set_aside"       // it said nothing several times, and comes last for a while
 	runEndPrefix                 = "run_"                  // run_crashed, run_lost, run_lapsed, run_not_run: ends that we decide
 	reasonSealed                 = "sealed"                // stopped before it was seen to run, so it never will
 	reasonStopping               = "sealing"               // the stop is on its way
--- a/jobs/runtable/ends.go
+++ b/jobs/runtable/ends.go
@@ -172,9 +172,9 @@
 	t.send(to, &wire.RunEnds{Ends: []wire.RunEnd{e}})
 }
 
-// Kept tells the table of ends that the backend server may forget, by word of the owner
+// AcknowledgeEnds tells the table of ends that the backend server may forget, by word of the owner
 // of their jobs.
-func (t *Table) Kept(_ time.Time, name string, m *wire.EndsKept) {
+func (t *Table) AcknowledgeEnds(_ time.Time, name string, m *wire.EndsKept) {
 	kept := make(map[wire.RunRef]bool, len(m.Runs))
 	for _, ref := range m.Runs {
 		kept[ref] = true
--- a/jobs/runtable/evacuations.go
+++ b/jobs/runtable/evacuations.go
@@ -12,10 +12,10 @@
 // often, and the users allow 5 s in all.
 const unheardAfter = 2 * time.Second
 
-// HearEvacuations takes the data centres in which operators want no task started. The newest
+// SetEvacuations takes the data centres in which operators want no task started. The newest
 // word counts, whoever has it; it stays in force however old it gets: else the worker would
 // have to stop in each outage of the store.
-func (t *Table) HearEvacuations(_ time.Time, e routing.Evacuations) {
+func (t *Table) SetEvacuations(_ time.Time, e routing.Evacuations) {
 	if e.Offset < t.evacuations.Offset {
 		return
 	}
@@ -43,12 +43,12 @@
 	if told.After(t.toldAt) {
 		t.toldAt = told
 	}
-	t.HearEvacuations(now, routing.Evacuations{Offset: m.Offset, DataCentres: m.DataCentres})
+	t.SetEvacuations(now, routing.Evacuations{Offset: m.Offset, DataCentres: m.DataCentres})
 }
 
-// EvacuationsUnheard returns whether no coordinator here has had word of evacuations from
+// EvacuationsStale returns whether no coordinator here has had word of evacuations from
 // the store for long, so that the worker has to ask.
-func (t *Table) EvacuationsUnheard(now time.Time) bool { return now.Sub(t.toldAt) > unheardAfter }
+func (t *Table) EvacuationsStale(now time.Time) bool { return now.Sub(t.toldAt) > unheardAfter }
 
 // sealUnanswered stops the starts that had no answer: to repeat them would be to start
 // tasks in an evacuated data centre.
--- a/jobs/runtable/evacuations_test.go
+++ b/jobs/runtable/evacuations_test.go
@@ -31,7 +31,7 @@
 
 	It("says that it takes nothing", func() {
 		f := newFixture().ready()
-		f.table.HearEvacuations(f.now, evacuated(3))
+		f.table.SetEvacuations(f.now, evacuated(3))
 		for _, s := range f.take().Sends {
 			if m, ok := s.Message.(*wire.WorkerStatus); ok {
 				Expect(m.Ready).To(BeFalse())
@@ -41,7 +41,7 @@
 
 	It("believes no older word", func() {
 		f := newFixture().ready()
-		f.table.HearEvacuations(f.now, evacuated(3))
+		f.table.SetEvacuations(f.now, evacuated(3))
 		told(f, &wire.Evacuations{Offset: 2})
 		f.order(7, ref(0, 1))
 		Expect(f.take().Starts).To(BeEmpty())
@@ -54,7 +54,7 @@
 		f.table.StartAnswered(f.now, starts[0], runtable.StartAccepted)
 		f.table.StartAnswered(f.now, starts[1], runtable.StartUnknown)
 		f.take()
-		f.table.HearEvacuations(f.now, evacuated(3))
+		f.table.SetEvacuations(f.now, evacuated(3))
 		Expect(f.take().Stops).To(ConsistOf(HaveField("Ref", ref(1, 1))))
 	})
 
@@ -62,7 +62,7 @@
 		f := newFixture().ready()
 		f.order(7, ref(0, 1))
 		start := f.take().Starts[0]
-		f.table.HearEvacuations(f.now, evacuated(3))
+		f.table.SetEvacuations(f.now, evacuated(3))
 		Expect(f.take().Stops).To(BeEmpty())
 		f.table.StartAnswered(f.now, start, runtable.StartUnknown)
 		e := f.take()
@@ -76,7 +76,7 @@
 		start := f.take().Starts[0]
 		f.pass(f.cfg.Silence.D() + 20*time.Millisecond)
 		f.table.StartAnswered(f.now, start, runtable.StartUnknown)
-		f.table.HearEvacuations(f.now, evacuated(3))
+		f.table.SetEvacuations(f.now, evacuated(3))
 		f.hold(nil)
 		Expect(f.take().Starts).To(BeEmpty())
 	})
@@ -85,12 +85,12 @@
 		f := newFixture().ready()
 		told(f, &wire.Evacuations{Offset: 3, AgeMS: 0})
 		f.passHolding(1900 * time.Millisecond)
-		Expect(f.table.EvacuationsUnheard(f.now)).To(BeFalse())
+		Expect(f.table.EvacuationsStale(f.now)).To(BeFalse())
 		told(f, &wire.Evacuations{Offset: 3, AgeMS: 1900}) // the same word, older
 		f.passHolding(200 * time.Millisecond)
-		Expect(f.table.EvacuationsUnheard(f.now)).To(BeTrue())
+		Expect(f.table.EvacuationsStale(f.now)).To(BeTrue())
 		told(f, &wire.Evacuations{Offset: 3, AgeMS: 10})
-		Expect(f.table.EvacuationsUnheard(f.now)).To(BeFalse())
+		Expect(f.table.EvacuationsStale(f.now)).To(BeFalse())
 	})
 })
 
--- a/jobs/runtable/identity.go
+++ b/jobs/runtable/identity.go
@@ -9,8 +9,8 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// Life names one life of the backend server, from its start to its end.
-type Life struct {
+// Incarnation names one life of the backend server, from its start to its end.
+type Incarnation struct {
 	// Instance is the ID that it goes by. A later life may have it again.
 	Instance string
 	// Born is when it started, in milliseconds since 1970 by its own word; 0 where backend
@@ -19,11 +19,11 @@
 }
 
 // String returns a name that no other life has.
-func (l Life) String() string {
-	if l.Born == 0 {
-		return l.Instance
+func (i Incarnation) String() string {
+	if i.Born == 0 {
+		return i.Instance
 	}
-	return l.Instance + "@" + strconv.FormatInt(l.Born, 10)
+	return i.Instance + "@" + strconv.FormatInt(i.Born, 10)
 }
 
 // Identity describes one life of the backend server.
@@ -36,18 +36,18 @@
 	Labels   []string
 }
 
-// Same returns whether the two say the same.
-func (id *Identity) Same(o *Identity) bool {
-	return id.Life() == o.Life() && id.Service == o.Service && id.Ready == o.Ready &&
+// Equal returns whether the two say the same.
+func (id *Identity) Equal(o *Identity) bool {
+	return id.Incarnation() == o.Incarnation() && id.Service == o.Service && id.Ready == o.Ready &&
 		id.Capacity == o.Capacity && slices.Equal(id.Labels, o.Labels)
 }
 
-// Life returns which life it is.
-func (id Identity) Life() Life { return Life{id.Instance, id.Born} }
+// Incarnation returns which life it is.
+func (id Identity) Incarnation() Incarnation { return Incarnation{id.Instance, id.Born} }
 
 // message returns what coordinators are sent of it.
 func (id *Identity) message() *wire.BackendIdentity {
-	return &wire.BackendIdentity{Instance: id.Life().String(), Service: id.Service, Capacity: id.Capacity, Labels: id.Labels}
+	return &wire.BackendIdentity{Instance: id.Incarnation().String(), Service: id.Service, Capacity: id.Capacity, Labels: id.Labels}
 }
 
 // Identity returns the life that the table speaks of.
@@ -56,11 +56,11 @@
 // Identify tells the table which life the backend server is in, by its own answer to
 // a question. A new life ends everything of the one before, which never comes back.
 func (t *Table) Identify(now time.Time, id Identity) {
-	if id.Life() != t.identity.Life() {
-		t.supersede(t.identity.Life())
+	if id.Incarnation() != t.identity.Incarnation() {
+		t.supersede(t.identity.Incarnation())
 		t.reportNumber = 0
 		if t.known {
-			t.succeeded(now, id.Life(), "new_instance")
+			t.succeeded(now, id.Incarnation(), "new_instance")
 		}
 	}
 	before, known := t.identity, t.known
@@ -71,7 +71,7 @@
 	}
 	t.identity = id
 	t.known = true
-	if known && before.Same(&id) {
+	if known && before.Equal(&id) {
 		return
 	}
 	for _, o := range t.owners {
--- a/jobs/runtable/lapse.go
+++ b/jobs/runtable/lapse.go
@@ -28,7 +28,7 @@
 			return
 		}
 	}
-	if t.synced && now.Sub(t.syncedAt) > t.cfg.FirstLease {
+	if t.synced && now.Sub(t.syncedAt) > t.cfg.AdoptionTimeout {
 		t.expireUnowned(now)
 	}
 }
--- a/jobs/runtable/leases.go
+++ b/jobs/runtable/leases.go
@@ -60,7 +60,7 @@
 // awaitClaim gives the coordinators of unclaimed runs time to ask about them, once.
 func (t *Table) awaitClaim(now time.Time, key leaseKey) {
 	if !t.holds(key) {
-		t.leases[key] = &ownerLease{expires: now.Add(t.cfg.FirstLease), reported: true, confirmed: true}
+		t.leases[key] = &ownerLease{expires: now.Add(t.cfg.AdoptionTimeout), reported: true, confirmed: true}
 	}
 }
 
--- a/jobs/runtable/lives.go
+++ b/jobs/runtable/lives.go
@@ -32,9 +32,9 @@
 // which the wire has held up, ends nothing of the living one.
 func (t *Table) Reported(now time.Time, r Report) {
 	switch {
-	case slices.Contains(t.superseded, r.Life()):
+	case slices.Contains(t.superseded, r.Incarnation()):
 		t.noteFrequent(ReportLate, wire.RunRef{}, reasonLifeOver)
-	case t.known && r.Life() == t.identity.Life():
+	case t.known && r.Incarnation() == t.identity.Incarnation():
 		t.reportedAgain(now, r)
 	default:
 		t.addCandidate(r)
@@ -56,7 +56,7 @@
 // addCandidate keeps the newest report of a life that is not known to live.
 func (t *Table) addCandidate(r Report) {
 	for i := range t.candidates {
-		if c := &t.candidates[i]; c.Life() == r.Life() {
+		if c := &t.candidates[i]; c.Incarnation() == r.Incarnation() {
 			if r.Number == 0 || r.Number > c.Number {
 				*c = r
 			}
@@ -69,41 +69,41 @@
 // askNext asks the backend server whether it is the first of the candidates. One
 // question is on its way at a time, so that answers come in the order of the questions.
 func (t *Table) askNext() {
-	if t.asking != (Life{}) || len(t.candidates) == 0 {
+	if t.asking != (Incarnation{}) || len(t.candidates) == 0 {
 		return
 	}
-	t.asking = t.candidates[0].Life()
-	t.effects.Ask = &RenewCall{Instance: t.asking.Instance, Born: t.asking.Born, Limit: t.cfg.CallLimit}
+	t.asking = t.candidates[0].Incarnation()
+	t.effects.Probe = &RenewCall{Instance: t.asking.Instance, Born: t.asking.Born, Limit: t.cfg.CallLimit}
 }
 
-// Asked takes the answer to the question of Effects.Ask: a RenewCall without a token,
+// ProbeAnswered takes the answer to the question of Effects.Ask: a RenewCall without a token,
 // which renews nothing. It is answered, or refused for its token, by that life alone.
-func (t *Table) Asked(now time.Time, call RenewCall, result RenewResult) {
-	if call.Life() != t.asking {
+func (t *Table) ProbeAnswered(now time.Time, call RenewCall, result RenewResult) {
+	if call.Incarnation() != t.asking {
 		return
 	}
-	t.asking = Life{}
+	t.asking = Incarnation{}
 	switch result {
 	case RenewUnanswered:
 	case RenewOK, RenewFenced:
-		c := t.takeCandidate(call.Life())
+		c := t.takeCandidate(call.Incarnation())
 		t.Identify(now, c.Identity)
 		t.reportNumber = c.Number
 		t.coldUntil = now.Add(c.Cold)
-	case RenewWrongLife, RenewReborn:
-		t.takeCandidate(call.Life())
-		t.supersede(call.Life())
+	case RenewWrongIncarnation, RenewRestarted:
+		t.takeCandidate(call.Incarnation())
+		t.supersede(call.Incarnation())
 		t.note(ReportLate, wire.RunRef{}, reasonLifeOver)
-	case RenewDead:
+	case RenewConnectionRefused:
 		// Whichever life it was, its next report asks again.
-		t.takeCandidate(call.Life())
+		t.takeCandidate(call.Incarnation())
 	}
 	t.askNext()
 }
 
 // takeCandidate removes the candidate and returns it.
-func (t *Table) takeCandidate(life Life) Report {
-	at := slices.IndexFunc(t.candidates, func(c Report) bool { return c.Life() == life })
+func (t *Table) takeCandidate(life Incarnation) Report {
+	at := slices.IndexFunc(t.candidates, func(c Report) bool { return c.Incarnation() == life })
 	c := t.candidates[at]
 	t.candidates = slices.Delete(t.candidates, at, at+1)
 	return c
@@ -111,8 +111,8 @@
 
 // Deregistered takes the backend server's word that the life ends: it takes no more
 // tasks, and no report of it counts any more.
-func (t *Table) Deregistered(now time.Time, life Life) {
-	if !t.known || life != t.identity.Life() {
+func (t *Table) Deregistered(now time.Time, life Incarnation) {
+	if !t.known || life != t.identity.Incarnation() {
 		t.noteFrequent(ReportLate, wire.RunRef{}, reasonLifeOver)
 		return
 	}
@@ -123,8 +123,8 @@
 }
 
 // supersede notes that the life is over for good.
-func (t *Table) supersede(life Life) {
-	if life == (Life{}) || slices.Contains(t.superseded, life) {
+func (t *Table) supersede(life Incarnation) {
+	if life == (Incarnation{}) || slices.Contains(t.superseded, life) {
 		return
 	}
 	t.superseded = append(t.superseded, life)
--- a/jobs/runtable/lives_test.go
+++ b/jobs/runtable/lives_test.go
@@ -18,11 +18,11 @@
 	// answer answers the question that is to be asked, which is about the instance.
 	answer := func(f *fixture, instance string, result runtable.RenewResult) {
 		e := f.take()
-		ExpectWithOffset(1, e.Ask).NotTo(BeNil())
-		ExpectWithOffset(1, e.Ask.Instance).To(Equal(instance))
-		ExpectWithOffset(1, e.Ask.Token).To(BeZero(), "a question renews nothing")
-		ExpectWithOffset(1, e.Ask.Deadline).To(BeZero())
-		f.table.Asked(f.now, *e.Ask, result)
+		ExpectWithOffset(1, e.Probe).NotTo(BeNil())
+		ExpectWithOffset(1, e.Probe.Instance).To(Equal(instance))
+		ExpectWithOffset(1, e.Probe.Token).To(BeZero(), "a question renews nothing")
+		ExpectWithOffset(1, e.Probe.Deadline).To(BeZero())
+		f.table.ProbeAnswered(f.now, *e.Probe, result)
 	}
 	// second is a table whose backend server has crashed and is in its second life.
 	second := func() *fixture {
@@ -58,21 +58,21 @@
 		startOne(f)
 		f.table.Reported(f.now, report("i-1", 9))
 		e := f.take()
-		Expect(e.Ask).To(BeNil())
+		Expect(e.Probe).To(BeNil())
 		Expect(ends(e)).To(BeEmpty())
 		Expect(f.table.Identity().Instance).To(Equal("i-2"))
 		f.table.Reported(f.now, report("i-2", 2))
-		Expect(f.take().Ask).To(BeNil(), "the living one is still known")
+		Expect(f.take().Probe).To(BeNil(), "the living one is still known")
 	})
 
 	It("of a crashed life end nothing at a worker that has heard of neither", func() {
 		f := newFixture()
 		f.table.Reported(f.now, report("i-1", 9))
 		f.table.Reported(f.now, report("i-2", 1))
-		answer(f, "i-1", runtable.RenewWrongLife)
+		answer(f, "i-1", runtable.RenewWrongIncarnation)
 		answer(f, "i-2", runtable.RenewOK)
 		f.table.Reported(f.now, report("i-1", 8))
-		Expect(f.take().Ask).To(BeNil())
+		Expect(f.take().Probe).To(BeNil())
 		Expect(f.table.Identity().Instance).To(Equal("i-2"))
 	})
 
@@ -102,19 +102,19 @@
 		f.table.Reported(f.now, report("i-1", 3))
 		f.table.Reported(f.now, report("i-2", 1))
 		answer(f, "i-1", runtable.RenewUnanswered)
-		answer(f, "i-1", runtable.RenewDead)
+		answer(f, "i-1", runtable.RenewConnectionRefused)
 		answer(f, "i-2", runtable.RenewUnanswered)
 		f.table.Reported(f.now, report("i-1", 4))
 		answer(f, "i-2", runtable.RenewOK)
-		answer(f, "i-1", runtable.RenewWrongLife)
+		answer(f, "i-1", runtable.RenewWrongIncarnation)
 		Expect(f.table.Identity().Instance).To(Equal("i-2"))
-		Expect(f.take().Ask).To(BeNil())
+		Expect(f.take().Probe).To(BeNil())
 	})
 
 	It("of the life whose connection was refused are believed once it answers", func() {
 		f := newFixture().ready()
 		call, _ := f.table.NextRenewal(f.now)
-		f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewDead})
+		f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewConnectionRefused})
 		f.table.Reported(f.now, report("i-1", 9))
 		answer(f, "i-1", runtable.RenewOK)
 		Expect(f.table.Identity().Ready).To(BeTrue())
@@ -122,9 +122,9 @@
 
 	It("do not count after the life has said that it ends, but a late word of an earlier one does nothing", func() {
 		f := second()
-		f.table.Deregistered(f.now, runtable.Life{Instance: "i-1"})
+		f.table.Deregistered(f.now, runtable.Incarnation{Instance: "i-1"})
 		Expect(f.table.Identity().Ready).To(BeTrue())
-		f.table.Deregistered(f.now, runtable.Life{Instance: "i-2"})
+		f.table.Deregistered(f.now, runtable.Incarnation{Instance: "i-2"})
 		Expect(f.table.Identity().Ready).To(BeFalse())
 		f.table.Reported(f.now, report("i-2", 7))
 		Expect(f.table.Identity().Ready).To(BeFalse())
--- a/jobs/runtable/owners.go
+++ b/jobs/runtable/owners.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// Needs takes a coordinator's word of what runs here take.
-func (t *Table) Needs(_ time.Time, name string, m *wire.RunNeeds) {
+// SetNeeds takes a coordinator's word of what runs here take.
+func (t *Table) SetNeeds(_ time.Time, name string, m *wire.RunNeeds) {
 	if t.owners[name] == nil {
 		return
 	}
--- a/jobs/runtable/races_test.go
+++ b/jobs/runtable/races_test.go
@@ -35,7 +35,7 @@
 // TestRefusedCopyOfAnOrder guards against the refusal of one copy being told as a run that never
 // was, while the other copy is on its way: that one begins, and the table does not know it.
 func TestRefusedCopyOfAnOrder(t *testing.T) {
-	for _, refusal := range []runtable.StartResult{runtable.StartNoRoom, runtable.StartUnhealthy, runtable.StartLate, runtable.StartDead} {
+	for _, refusal := range []runtable.StartResult{runtable.StartNoRoom, runtable.StartUnhealthy, runtable.StartLeaseExpired, runtable.StartConnectionRefused} {
 		for _, firstIsRefused := range []bool{true, false} {
 			RegisterTestingT(t)
 			f := newFixture().ready()
@@ -82,8 +82,8 @@
 	f.table.StartAnswered(f.now, first, runtable.StartUnknown)
 	third := f.take().Starts[0]
 	Expect(f.refusedUntilGivenUp()).To(BeEmpty())
-	f.table.StartAnswered(f.now, third, runtable.StartDead)
-	f.table.StartAnswered(f.now, second, runtable.StartDead)
+	f.table.StartAnswered(f.now, third, runtable.StartConnectionRefused)
+	f.table.StartAnswered(f.now, second, runtable.StartConnectionRefused)
 	Expect(ends(f.take())).To(BeEmpty(), "the first copy may be carried out late")
 	f.live(2000)
 	Expect(f.take().Stops).To(HaveLen(1))
@@ -301,7 +301,7 @@
 	f.hold(listed)
 	stops := f.take().Stops
 	Expect(stops).To(HaveLen(1), "once for both lists")
-	Expect(stops[0].Life()).To(Equal(identity.Life()))
+	Expect(stops[0].Incarnation()).To(Equal(identity.Incarnation()))
 	Expect(stops[0].Token).To(Equal(f.hold(nil).Token))
 	f.table.StopAnswered(f.now, stops[0], false)
 	f.pass(100 * time.Millisecond)
--- a/jobs/runtable/reborn.go
+++ b/jobs/runtable/reborn.go
@@ -10,7 +10,7 @@
 // the same ID takes orders that were meant for the life before. So a run that was ordered
 // and not yet listed may run there: it is stopped there before its owner hears of its end,
 // else its task could run twice at once.
-func (t *Table) succeeded(now time.Time, life Life, reason string) {
+func (t *Table) succeeded(now time.Time, life Incarnation, reason string) {
 	t.lifeOverBut(now, reason, func(r *run) bool { return !r.listed && life.Instance == t.identity.Instance })
 }
 
@@ -46,7 +46,7 @@
 			r.lost = &e
 		}
 		r.state = runInherited
-		r.until = now.Add(time.Duration(float64(t.cfg.BackendLeaseMost)*(1+t.cfg.Drift)) + lapseMargin)
+		r.until = now.Add(time.Duration(float64(t.cfg.MaxBackendLease)*(1+t.cfg.Drift)) + lapseMargin)
 		taken[ref] = r
 		delete(t.runs, ref)
 	}
--- a/jobs/runtable/reborn_test.go
+++ b/jobs/runtable/reborn_test.go
@@ -24,7 +24,7 @@
 	ready := func() *fixture {
 		f := newFixture()
 		f.table.Reported(f.now, report(first, 10))
-		f.table.Asked(f.now, *f.take().Ask, runtable.RenewOK)
+		f.table.ProbeAnswered(f.now, *f.take().Probe, runtable.RenewOK)
 		f.hold(nil)
 		f.hold(nil)
 		f.table.OwnerUp(f.now, owner, member)
@@ -37,13 +37,13 @@
 	reborn := func(f *fixture) []wire.RunEnd {
 		call, ok := f.table.NextRenewal(f.now)
 		ExpectWithOffset(1, ok).To(BeTrue())
-		f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewReborn})
+		f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewRestarted})
 		f.table.Reported(f.now, report(second, 1))
 		e := f.take()
-		ask := e.Ask
+		ask := e.Probe
 		ExpectWithOffset(1, ask).NotTo(BeNil())
-		ExpectWithOffset(1, ask.Life()).To(Equal(runtable.Life{Instance: "i-1", Born: second}))
-		f.table.Asked(f.now, *ask, runtable.RenewOK)
+		ExpectWithOffset(1, ask.Incarnation()).To(Equal(runtable.Incarnation{Instance: "i-1", Born: second}))
+		f.table.ProbeAnswered(f.now, *ask, runtable.RenewOK)
 		return append(ends(e), ends(f.take())...)
 	}
 	sync := func(f *fixture, running ...runtable.ListedRun) {
@@ -57,19 +57,19 @@
 		sync(f)
 		f.heartbeat(8)
 		f.take()
-		Expect(f.table.Identity().Life()).To(Equal(runtable.Life{Instance: "i-1", Born: second}))
+		Expect(f.table.Identity().Incarnation()).To(Equal(runtable.Incarnation{Instance: "i-1", Born: second}))
 		f.order(8, ref(0, 1))
 		starts := f.take().Starts
 		Expect(starts).To(HaveLen(1))
-		Expect(starts[0].Life()).To(Equal(runtable.Life{Instance: "i-1", Born: second}))
+		Expect(starts[0].Incarnation()).To(Equal(runtable.Incarnation{Instance: "i-1", Born: second}))
 	})
 
 	It("is not taken for the life before by a report of that one which comes late", func() {
 		f := ready()
 		reborn(f)
 		f.table.Reported(f.now, report(first, 11))
-		if ask := f.take().Ask; ask != nil {
-			f.table.Asked(f.now, *ask, runtable.RenewReborn)
+		if ask := f.take().Probe; ask != nil {
+			f.table.ProbeAnswered(f.now, *ask, runtable.RenewRestarted)
 		}
 		Expect(f.table.Identity().Born).To(BeEquivalentTo(second))
 	})
@@ -79,7 +79,7 @@
 		f.order(7, ref(0, 1))
 		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
 		f.hold(nil, runtable.ListedEnd{Number: 9, Ref: ref(0, 1), Valid: true, How: wire.EndDone})
-		f.table.Kept(f.now, owner, &wire.EndsKept{Runs: []wire.RunRef{ref(0, 1)}})
+		f.table.AcknowledgeEnds(f.now, owner, &wire.EndsKept{Runs: []wire.RunRef{ref(0, 1)}})
 		reborn(f)
 		call, ok := f.table.NextRenewal(f.now)
 		Expect(ok).To(BeTrue())
@@ -96,7 +96,7 @@
 		e := f.take()
 		Expect(ends(e)).To(BeEmpty())
 		Expect(e.Stops).To(HaveLen(1))
-		Expect(e.Stops[0].Life()).To(Equal(runtable.Life{Instance: "i-1", Born: second}))
+		Expect(e.Stops[0].Incarnation()).To(Equal(runtable.Incarnation{Instance: "i-1", Born: second}))
 		f.table.StopAnswered(f.now, e.Stops[0], true)
 		f.hold(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndStopped})
 		Expect(f.table.Identity().Ready).To(BeTrue())
@@ -133,7 +133,7 @@
 		f.order(7, ref(0, 1))
 		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
 		call, _ := f.table.NextRenewal(f.now)
-		f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewReborn})
+		f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewRestarted})
 		f.pass(f.cfg.BackendLease.D())
 		Expect(ends(f.take())).To(BeEmpty())
 		f.pass(200 * time.Millisecond)
--- a/jobs/runtable/refused_test.go
+++ b/jobs/runtable/refused_test.go
@@ -14,7 +14,7 @@
 func (f *fixture) refused() {
 	call, ok := f.table.NextRenewal(f.now)
 	ExpectWithOffset(1, ok).To(BeTrue())
-	f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewDead})
+	f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewConnectionRefused})
 }
 
 // refusedUntilGivenUp has every connection refused until the life is given up, and returns the
@@ -23,7 +23,7 @@
 	var told []wire.RunEnd
 	for range 200 {
 		if call, ok := f.table.NextRenewal(f.now); ok {
-			f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewDead})
+			f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewConnectionRefused})
 		}
 		f.heartbeat(7)
 		f.pass(10 * time.Millisecond)
@@ -54,7 +54,7 @@
 		"of a renewal": func(f *fixture) { f.refused() },
 		"of an order": func(f *fixture) {
 			f.order(0, ref(5, wire.BestEffortRun+1))
-			f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartDead)
+			f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartConnectionRefused)
 			Expect(ends(f.take())).To(ConsistOf(HaveField("How", uint8(wire.EndNotRun))), "that order never came")
 		},
 	}
@@ -84,7 +84,7 @@
 	var told []wire.RunEnd
 	for len(told) == 0 && f.now.Before(over.Add(time.Second)) {
 		if call, ok := f.table.NextRenewal(f.now); ok {
-			f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewDead})
+			f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewConnectionRefused})
 		}
 		f.beat(owner)
 		f.pass(20 * time.Millisecond)
--- a/jobs/runtable/renew.go
+++ b/jobs/runtable/renew.go
@@ -13,7 +13,7 @@
 	}
 	t.renewSeq++
 	t.renewals[t.renewSeq] = false
-	call = RenewCall{Instance: t.identity.Instance, Born: t.identity.Born, Seq: t.renewSeq, Token: t.token, LastSeen: t.acked, Patience: t.cfg.RenewPatience, Limit: t.renewLimit()}
+	call = RenewCall{Instance: t.identity.Instance, Born: t.identity.Born, Seq: t.renewSeq, Token: t.token, LastSeen: t.acked, OverdueAfter: t.cfg.RenewOverdueAfter, Limit: t.renewLimit()}
 	if t.token == 0 {
 		return call, true
 	}
@@ -38,9 +38,9 @@
 	case !t.synced || t.unanswered > 0:
 		return 0
 	case len(t.runs) > 0 && now.Sub(t.unansweredAt) < wary:
-		return t.cfg.RenewWait
+		return t.cfg.ShortRenewWait
 	}
-	return t.cfg.CalmRenewWait
+	return t.cfg.LongRenewWait
 }
 
 // renewLimit returns how long to wait for the answer to a renewal, beyond its own
@@ -61,7 +61,7 @@
 		return // it was answered in the same moment
 	}
 	t.renewals[call.Seq] = true
-	if call.Life() == t.identity.Life() && t.known {
+	if call.Incarnation() == t.identity.Incarnation() && t.known {
 		t.unanswered++
 	}
 }
@@ -71,19 +71,19 @@
 func (t *Table) RenewAnswered(now time.Time, call RenewCall, a RenewAnswer) {
 	overdue := t.renewals[call.Seq]
 	delete(t.renewals, call.Seq)
-	if call.Life() != t.identity.Life() || !t.known {
+	if call.Incarnation() != t.identity.Incarnation() || !t.known {
 		return
 	}
 	if a.Result != RenewUnanswered {
 		t.unanswered = 0
 	}
 	switch a.Result {
-	case RenewDead:
+	case RenewConnectionRefused:
 		t.refused(now)
-	case RenewWrongLife:
+	case RenewWrongIncarnation:
 		t.lifeOver(now, "wrong_life")
-	case RenewReborn:
-		t.succeeded(now, Life{Instance: call.Instance}, "reborn")
+	case RenewRestarted:
+		t.succeeded(now, Incarnation{Instance: call.Instance}, "reborn")
 	case RenewUnanswered:
 		t.unansweredAt = now
 		if !overdue {
--- a/jobs/runtable/runtable.go
+++ b/jobs/runtable/runtable.go
@@ -27,21 +27,21 @@
 	Partitions   uint32        // of the job store
 	OwnerLease   time.Duration // how long a coordinator's heartbeat keeps its kept jobs' runs
 	BackendLease time.Duration // the lease that the backend server is asked for
-	// BackendLeaseMost is the longest lease that it grants.
-	BackendLeaseMost time.Duration
-	// RenewWait is how long a renewal may wait at the backend server for news while
+	// MaxBackendLease is the longest lease that it grants.
+	MaxBackendLease time.Duration
+	// ShortRenewWait is how long a renewal may wait at the backend server for news while
 	// something runs and calls go unanswered; CalmRenewWait, at any other time.
-	RenewWait     time.Duration
-	CalmRenewWait time.Duration
-	// RenewPatience is how long the answer to a renewal may take beyond its wait before
+	ShortRenewWait time.Duration
+	LongRenewWait  time.Duration
+	// RenewOverdueAfter is how long the answer to a renewal may take beyond its wait before
 	// the next renewal is made beside it.
-	RenewPatience time.Duration
-	RenewLimit    time.Duration // how long the answer to a renewal may take beyond its wait
-	CallLimit     time.Duration // the most that RenewLimit grows to
-	Silence       time.Duration // without an answer after which the backend server is called silent
-	Drift         float64       // by how much the backend server's clock may run slow, such as 0.02
-	StartLimit    time.Duration // after which an unanswered start is stopped
-	FirstLease    time.Duration // how long a fresh process waits for the owners of what it adopted
+	RenewOverdueAfter time.Duration
+	RenewLimit        time.Duration // how long the answer to a renewal may take beyond its wait
+	CallLimit         time.Duration // the most that RenewLimit grows to
+	SilentAfter       time.Duration // without an answer after which the backend server is called silent
+	Drift             float64       // by how much the backend server's clock may run slow, such as 0.02
+	StartLimit        time.Duration // after which an unanswered start is stopped
+	AdoptionTimeout   time.Duration // how long a fresh process waits for the owners of what it adopted
 	// BestEffortLease is the OwnerLease of best-effort jobs: their runs must be
 	// gone before the callers send the jobs again.
 	BestEffortLease time.Duration
@@ -59,9 +59,9 @@
 	// reportNumber is that of the newest report of the life.
 	reportNumber uint64
 	coldUntil    time.Time     // the backend server is slow until then, by its own word
-	superseded   []Life        // lives that are over, the latest last
+	superseded   []Incarnation // lives that are over, the latest last
 	candidates   []Report      // of lives that may be the present one, in the order in which they came
-	asking       Life          // the candidate that is asked about; empty when none is
+	asking       Incarnation   // the candidate that is asked about; empty when none is
 	token        uint64        // fencing token; 0 until the backend server's clock is known
 	clock        time.Duration // of the backend server, as of clockAt
 	clockAt      time.Time
@@ -128,7 +128,7 @@
 	Stops  []StopCall
 	Notes  []Note
 	Renew  bool       // ask for NextRenewal soon
-	Ask    *RenewCall // to be made and answered by Asked; nil when there is none
+	Probe  *RenewCall // to be made and answered by Asked; nil when there is none
 }
 
 // New returns an empty table; now is when the process began.
--- a/jobs/runtable/runtable_test.go
+++ b/jobs/runtable/runtable_test.go
@@ -159,7 +159,7 @@
 		Expect(e.Starts).To(BeEmpty())
 		Expect(ends(e)).To(ConsistOf(HaveField("Reason", "no_lease")))
 		Expect(e.Stops).To(BeEmpty(), "its lease keeps what an earlier process started")
-		f.table.Needs(f.now, owner, &wire.RunNeeds{Runs: []wire.RunNeed{{Ref: ref(9, 1), Need: durable.Resources{CPU: 1000}}}})
+		f.table.SetNeeds(f.now, owner, &wire.RunNeeds{Runs: []wire.RunNeed{{Ref: ref(9, 1), Need: durable.Resources{CPU: 1000}}}})
 		claim(true)
 		f.order(7, ref(0, 2))
 		Expect(f.take().Starts).To(HaveLen(1))
@@ -295,7 +295,7 @@
 		call := f.take().Starts[0]
 		f.table.StartAnswered(f.now, call, runtable.StartUnknown)
 		f.take()
-		f.table.StartAnswered(f.now, call, runtable.StartDead)
+		f.table.StartAnswered(f.now, call, runtable.StartConnectionRefused)
 		f.order(7, ref(1, 1))
 		Expect(ends(f.take())).To(ConsistOf(HaveField("Reason", "not_ready")), "the earlier copy may have come")
 		f.table.Identify(f.now, nextIdentity())
@@ -319,9 +319,9 @@
 			runtable.ListedEnd{Number: 4, Ref: ref(0, 1), Valid: true, How: wire.EndDone},
 			runtable.ListedEnd{Number: 5, Ref: ref(1, 1), Valid: true, How: wire.EndDone})
 		Expect(ends(f.take())).To(HaveLen(2))
-		f.table.Kept(f.now, owner, &wire.EndsKept{Runs: []wire.RunRef{ref(1, 1)}})
+		f.table.AcknowledgeEnds(f.now, owner, &wire.EndsKept{Runs: []wire.RunRef{ref(1, 1)}})
 		Expect(f.hold(nil).LastSeen).To(Equal(uint64(3)))
-		f.table.Kept(f.now, owner, &wire.EndsKept{Runs: []wire.RunRef{ref(0, 1)}})
+		f.table.AcknowledgeEnds(f.now, owner, &wire.EndsKept{Runs: []wire.RunRef{ref(0, 1)}})
 		Expect(f.hold(nil).LastSeen).To(Equal(uint64(5)))
 	})
 
@@ -367,9 +367,9 @@
 		run(f, ref(0, 1))
 		f.hold(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndDone})
 		f.table.OwnerUp(f.now, "conn-2", "c1/1")
-		f.table.Kept(f.now, "conn-2", &wire.EndsKept{Runs: []wire.RunRef{ref(0, 1)}})
+		f.table.AcknowledgeEnds(f.now, "conn-2", &wire.EndsKept{Runs: []wire.RunRef{ref(0, 1)}})
 		Expect(f.hold(nil).LastSeen).To(BeZero())
-		f.table.Kept(f.now, owner, &wire.EndsKept{Runs: []wire.RunRef{ref(0, 1)}})
+		f.table.AcknowledgeEnds(f.now, owner, &wire.EndsKept{Runs: []wire.RunRef{ref(0, 1)}})
 		Expect(f.hold(nil).LastSeen).To(BeEquivalentTo(1))
 	})
 
@@ -434,7 +434,7 @@
 		f.take()
 		return f
 	}
-	silence := func(f *fixture) time.Duration { return f.cfg.Core("dc").Silence }
+	silence := func(f *fixture) time.Duration { return f.cfg.Core("dc").SilentAfter }
 
 	It("gets no new tasks", func() {
 		f := running()
@@ -651,7 +651,7 @@
 	It("have another made beside them when they are overdue, and count once if they are lost", func() {
 		f := newFixture().ready()
 		first, _ := f.table.NextRenewal(f.now)
-		Expect(first.Patience).To(Equal(f.cfg.RenewPatience.D()))
+		Expect(first.OverdueAfter).To(Equal(f.cfg.RenewPatience.D()))
 		f.table.RenewOverdue(first)
 		second, _ := f.table.NextRenewal(f.now)
 		Expect(second.Wait).To(BeZero())
--- a/jobs/runtable/shares.go
+++ b/jobs/runtable/shares.go
@@ -8,8 +8,8 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// Ask takes what waits for room at a coordinator.
-func (t *Table) Ask(now time.Time, name string, m *wire.RoomAsk) {
+// RequestCapacity takes what waits for room at a coordinator.
+func (t *Table) RequestCapacity(now time.Time, name string, m *wire.RoomAsk) {
 	if t.owners[name] != nil {
 		t.room.Ask(now, name, m)
 	}
@@ -56,7 +56,7 @@
 	room.Granted:       GrantMade,
 	room.GrantUsed:     GrantUsed,
 	room.GrantLapsed:   GrantLapsed,
-	room.OwnerSetAside: OwnerSetAside,
+	room.OwnerSetAside: OwnerDeprioritised,
 }
 
 func (t *Table) noteRoom(e room.Event) {
--- a/jobs/runtable/shares_test.go
+++ b/jobs/runtable/shares_test.go
@@ -74,7 +74,7 @@
 	if tasks > 0 {
 		m.Waits = []wire.RoomWait{{WaitingWork: wire.WaitingWork{FirstMS: turn, LastMS: turn, Work: 90}, Need: durable.Resources{CPU: 1500}, Tasks: tasks}}
 	}
-	n.table.Ask(n.now, name, m)
+	n.table.RequestCapacity(n.now, name, m)
 }
 
 // orders has the coordinator order a run, having handled all that it was told.
@@ -169,7 +169,7 @@
 		n := newNeighbours()
 		for range 30 {
 			n.seq++
-			n.table.Ask(n.now, "b", &wire.RoomAsk{Seq: n.seq, Waits: []wire.RoomWait{{Need: durable.Resources{CPU: 4001}, Tasks: 1}}})
+			n.table.RequestCapacity(n.now, "b", &wire.RoomAsk{Seq: n.seq, Waits: []wire.RoomWait{{Need: durable.Resources{CPU: 4001}, Tasks: 1}}})
 			n.hold(nil)
 			n.pass(10 * time.Millisecond)
 			n.perform()
@@ -230,7 +230,7 @@
 	It("grants nothing where it takes nothing, and again when it does", func() {
 		for name, stop := range map[string]func(n *neighbours){
 			"evacuated": func(n *neighbours) {
-				n.table.HearEvacuations(n.now, routing.Evacuations{Offset: 3, DataCentres: []string{"dc"}})
+				n.table.SetEvacuations(n.now, routing.Evacuations{Offset: 3, DataCentres: []string{"dc"}})
 			},
 			"draining": func(n *neighbours) {
 				id := identity
@@ -239,7 +239,7 @@
 			},
 			"its life is over": func(n *neighbours) {
 				call, _ := n.table.NextRenewal(n.now)
-				n.table.RenewAnswered(n.now, call, runtable.RenewAnswer{Result: runtable.RenewDead})
+				n.table.RenewAnswered(n.now, call, runtable.RenewAnswer{Result: runtable.RenewConnectionRefused})
 			},
 			"silent": func(n *neighbours) { n.pass(n.cfg.Silence.D() + time.Millisecond) },
 		} {
@@ -313,7 +313,7 @@
 		n.ended()
 		n.perform()
 		v := n.table.View(n.now)
-		Expect(v.Life).To(Equal(identity.Instance))
+		Expect(v.Incarnation).To(Equal(identity.Instance))
 		Expect(v.Ready).To(BeTrue())
 		Expect([]int64{v.Capacity, v.Free}).To(Equal([]int64{4000, 2500}))
 		Expect(v.Coordinators).To(HaveKeyWithValue("c", "member-c"))
--- a/jobs/runtable/silence.go
+++ b/jobs/runtable/silence.go
@@ -10,7 +10,7 @@
 // gets no new runs, and its lease is not renewed any further, so that what it runs is
 // known to be dead as soon as can be.
 func (t *Table) checkSilence(now time.Time) {
-	unheard := now.Sub(t.clockAt) > t.cfg.Silence || t.refuses()
+	unheard := now.Sub(t.clockAt) > t.cfg.SilentAfter || t.refuses()
 	silent := t.known && unheard && (t.synced || t.atWork())
 	if silent == t.silent {
 		return
--- a/jobs/runtable/speed_test.go
+++ b/jobs/runtable/speed_test.go
@@ -113,7 +113,7 @@
 		f.heartbeat(7)
 		f.pass(time.Millisecond)
 		for _, a := range adopted {
-			f.table.Needs(f.now, owner, &wire.RunNeeds{Runs: []wire.RunNeed{{Ref: a.Ref}}})
+			f.table.SetNeeds(f.now, owner, &wire.RunNeeds{Runs: []wire.RunNeed{{Ref: a.Ref}}})
 			f.end(a.Ref)
 		}
 		Expect(f.said()).To(SatisfyAll(HaveField("TimeFactor", BeZero()), HaveField("Slowness", BeEquivalentTo(100))))
--- a/jobs/runtable/starts.go
+++ b/jobs/runtable/starts.go
@@ -97,7 +97,7 @@
 		t.inheritedAnswered(now, r, result)
 		return
 	}
-	if r == nil || call.Life() != t.identity.Life() || r.state != runStarting {
+	if r == nil || call.Incarnation() != t.identity.Incarnation() || r.state != runStarting {
 		return
 	}
 	switch result {
@@ -112,10 +112,10 @@
 	case StartUnknown:
 		r.unanswered = true
 		t.repeatStart(now, r)
-	case StartDead:
+	case StartConnectionRefused:
 		t.neverSent(now, r)
 		t.refused(now)
-	case StartOld:
+	case StartRunNumberUsed:
 		t.verify(r)
 	default:
 		t.startRefused(now, r, result)
--- a/jobs/runtable/stops.go
+++ b/jobs/runtable/stops.go
@@ -48,7 +48,7 @@
 		t.unansweredAt = now
 	}
 	r := t.runs[call.Ref]
-	if r == nil || call.Life() != t.identity.Life() || r.state != runStopping {
+	if r == nil || call.Incarnation() != t.identity.Incarnation() || r.state != runStopping {
 		return
 	}
 	if answered {
--- a/jobs/runtable/view.go
+++ b/jobs/runtable/view.go
@@ -8,16 +8,16 @@
 
 // View is what the table believes, for operators.
 type View struct {
-	Life       string `json:"life"`        // of the backend server; empty while none is known
-	Ready      bool   `json:"ready"`       // runs may start
-	Silent     bool   `json:"silent"`      // the backend server does not answer
-	Evacuated  bool   `json:"evacuated"`   // operators want no task started here
-	TimeFactor uint32 `json:"time_factor"` // usual time of runs over their estimates, in percent; 0 if not known
-	Slowness   uint32 `json:"slowness"`    // of the latest runs over what is usual, in percent
-	Failing    uint32 `json:"failing"`     // share of the latest runs, in percent
-	Capacity   int64  `json:"capacity"`    // thousandths of a core
-	Free       int64  `json:"free"`        // the same; may be negative
-	Runs       int    `json:"runs"`
+	Incarnation string `json:"life"`        // of the backend server; empty while none is known
+	Ready       bool   `json:"ready"`       // runs may start
+	Silent      bool   `json:"silent"`      // the backend server does not answer
+	Evacuated   bool   `json:"evacuated"`   // operators want no task started here
+	TimeFactor  uint32 `json:"time_factor"` // usual time of runs over their estimates, in percent; 0 if not known
+	Slowness    uint32 `json:"slowness"`    // of the latest runs over what is usual, in percent
+	Failing     uint32 `json:"failing"`     // share of the latest runs, in percent
+	Capacity    int64  `json:"capacity"`    // thousandths of a core
+	Free        int64  `json:"free"`        // the same; may be negative
+	Runs        int    `json:"runs"`
 	// Coordinators are the processes behind the names of connections.
 	Coordinators map[string]string `json:"coordinators"`
 	Asks         []room.AskView    `json:"asks"`
@@ -27,7 +27,7 @@
 // View returns what the table believes.
 func (t *Table) View(now time.Time) View {
 	v := View{
-		Life:         t.identity.Life().String(),
+		Incarnation:  t.identity.Incarnation().String(),
 		Ready:        t.canStart(),
 		Silent:       t.silent,
 		Evacuated:    t.evacuated,
--- a/jobs/worker/events.go
+++ b/jobs/worker/events.go
@@ -51,15 +51,15 @@
 	case *wire.StartRuns:
 		w.table.Start(now, from, m)
 	case *wire.RoomAsk:
-		w.table.Ask(now, from, m)
+		w.table.RequestCapacity(now, from, m)
 	case *wire.StopRuns:
 		w.table.Stop(now, from, m)
 	case *wire.RunsQuery:
 		w.table.QueryRuns(now, from, m)
 	case *wire.RunNeeds:
-		w.table.Needs(now, from, m)
+		w.table.SetNeeds(now, from, m)
 	case *wire.EndsKept:
-		w.table.Kept(now, from, m)
+		w.table.AcknowledgeEnds(now, from, m)
 	case *wire.RecordedBackend:
 		w.takeRecorded(now, m)
 	}
@@ -73,7 +73,7 @@
 }
 
 // backendDeregistered is the word of a life of the backend server that it ends.
-type backendDeregistered struct{ life runtable.Life }
+type backendDeregistered struct{ life runtable.Incarnation }
 
 func (e backendDeregistered) apply(w *Worker, now time.Time) {
 	w.log.Info("backend_deregistered", zap.Stringer("instance", e.life))
@@ -88,12 +88,12 @@
 }
 
 func (e backendAsked) apply(w *Worker, now time.Time) {
-	w.followIdentity(func() { w.table.Asked(now, e.call, e.result) })
+	w.followIdentity(func() { w.table.ProbeAnswered(now, e.call, e.result) })
 }
 
 // backendFound names the life of a backend server that was there before us. What it says of
 // itself goes before.
-type backendFound struct{ life runtable.Life }
+type backendFound struct{ life runtable.Incarnation }
 
 func (e backendFound) apply(w *Worker, now time.Time) {
 	if w.table.Identity().Instance != "" {
@@ -120,7 +120,7 @@
 		return
 	}
 	id := runtable.Identity(*w.recorded)
-	if id.Life() == known.Life() {
+	if id.Incarnation() == known.Incarnation() {
 		w.followIdentity(func() { w.table.Identify(now, id) })
 	}
 }
@@ -131,10 +131,10 @@
 	before := w.table.Identity()
 	change()
 	id := w.table.Identity()
-	if before.Same(&id) {
+	if before.Equal(&id) {
 		return
 	}
-	w.log.Info("backend_state", zap.Stringer("instance", id.Life()), zap.Bool("ready", id.Ready), zap.Int64("cpu", id.Capacity.CPU))
+	w.log.Info("backend_state", zap.Stringer("instance", id.Incarnation()), zap.Bool("ready", id.Ready), zap.Int64("cpu", id.Capacity.CPU))
 	if id.Service != "" {
 		// A successor of this process begins with what is registered: a capacity that has
 		// shrunk since would have it order beyond the room.
--- a/jobs/worker/operators.go
+++ b/jobs/worker/operators.go
@@ -21,14 +21,14 @@
 type evacuationsRead struct{ evacuations routing.Evacuations }
 
 func (e evacuationsRead) apply(w *Worker, now time.Time) {
-	w.table.HearEvacuations(now, e.evacuations)
+	w.table.SetEvacuations(now, e.evacuations)
 }
 
 // readOperators reads the operators' records as long as no coordinator here has had word of
 // them, so that this worker, which can reach the store, does not obey coordinators that
 // cannot. It is called by the control goroutine.
 func (w *Worker) readOperators(now time.Time) {
-	unheard := w.table.EvacuationsUnheard(now)
+	unheard := w.table.EvacuationsStale(now)
 	if unheard == (w.stopReading != nil) {
 		return
 	}
--- a/jobs/worker/perform.go
+++ b/jobs/worker/perform.go
@@ -24,8 +24,8 @@
 	for _, c := range e.Stops {
 		go w.stop(c)
 	}
-	if e.Ask != nil {
-		go w.ask(*e.Ask)
+	if e.Probe != nil {
+		go w.ask(*e.Probe)
 	}
 	if e.Renew {
 		w.kickRenewal()
--- a/jobs/worker/renew.go
+++ b/jobs/worker/renew.go
@@ -40,7 +40,7 @@
 		result, answered := w.renewUntilOverdue(next.call, func() { <-free })
 		switch {
 		case !answered:
-		case result == runtable.RenewDead:
+		case result == runtable.RenewConnectionRefused:
 			loop.Sleep(w.halt, renewRefused)
 		case result != runtable.RenewOK:
 			loop.Sleep(w.halt, renewRetry)
@@ -61,7 +61,7 @@
 		w.loop.Post(renewalAnswered{call, answer})
 		results <- answer.Result
 	}()
-	overdue := time.NewTimer(call.Wait + call.Patience)
+	overdue := time.NewTimer(call.Wait + call.OverdueAfter)
 	defer overdue.Stop()
 	select {
 	case result := <-results:
--- a/jobs/worker/worker.go
+++ b/jobs/worker/worker.go
@@ -31,7 +31,7 @@
 // within its context.
 type Backend interface {
 	// Identify asks which life answers; ok is false when none does.
-	Identify(ctx context.Context) (life runtable.Life, ok bool)
+	Identify(ctx context.Context) (life runtable.Incarnation, ok bool)
 	Start(ctx context.Context, c runtable.StartCall) runtable.StartResult
 	// Stop returns whether the order was answered.
 	Stop(ctx context.Context, c runtable.StopCall) bool
@@ -154,7 +154,7 @@
 func (w *Worker) Reported(r runtable.Report) { w.loop.Post(backendReported{r}) }
 
 // Deregistered takes the word of a life of the backend server that it ends.
-func (w *Worker) Deregistered(life runtable.Life) { w.loop.Post(backendDeregistered{life}) }
+func (w *Worker) Deregistered(life runtable.Incarnation) { w.loop.Post(backendDeregistered{life}) }
 
 // Close ends everything at once. What runs goes on under its lease.
 func (w *Worker) Close() {
