--- a/jobs/runtable/shares.go
+++ b/jobs/runtable/capacity.go
@@ -15,21 +15,21 @@
 	}
 }
 
-// shareRoom grants what is free to those who ask, and has them told. Once nobody asks any
+// shareCapacity grants what is free to those who ask, and has them told. Once nobody asks any
 // more, all are told of all that is free.
-func (t *Table) shareRoom(now time.Time) {
+func (t *Table) shareCapacity(now time.Time) {
 	t.room.Resize(t.identity.Capacity)
 	for _, name := range t.room.Share(now, t.grantable(now)) {
-		t.touch(name, t.owners[name])
+		t.queueStatus(name, t.owners[name])
 	}
 	for _, e := range t.room.Events() {
-		t.noteRoom(e)
+		t.noteRoomEvent(e)
 	}
 	shared := t.room.Asked()
-	if t.shared && !shared {
-		t.touchOwners()
+	if t.capacityShared && !shared {
+		t.queueStatuses()
 	}
-	t.shared = shared
+	t.capacityShared = shared
 }
 
 // grantable returns the room that orders may use now.
@@ -40,15 +40,15 @@
 	return t.free()
 }
 
-// touchFreed makes every coordinator get a status of what has come free. While some ask for
+// announceFreed makes every coordinator get a status of what has come free. While some ask for
 // room, those get one to whom it is granted; the others hear of it in the answer to their next
 // heartbeat.
-func (t *Table) touchFreed() {
+func (t *Table) announceFreed() {
 	if !t.room.Asked() {
-		t.touchOwners()
+		t.queueStatuses()
 		return
 	}
-	t.shared = true
+	t.capacityShared = true
 }
 
 // roomDecisions name the events of package room.
@@ -59,7 +59,7 @@
 	room.OwnerSetAside: OwnerDeprioritised,
 }
 
-func (t *Table) noteRoom(e room.Event) {
+func (t *Table) noteRoomEvent(e room.Event) {
 	member := ""
 	if o := t.owners[e.Owner]; o != nil {
 		member = o.member
--- a/jobs/runtable/crash.go
+++ b/jobs/runtable/crash.go
@@ -7,10 +7,10 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// keepCrashed is how long the crashed runs of kept jobs are remembered for their owners: the
+// crashedRunTTL is how long the crashed runs of kept jobs are remembered for their owners: the
 // backend server that listed them is gone. Some times what a new owner of a partition takes to
 // ask.
-const keepCrashed = 30 * time.Second
+const crashedRunTTL = 30 * time.Second
 
 // crashedRun is a run that was lost with a life of the backend server that has crashed, or
 // may have.
@@ -29,23 +29,23 @@
 // only one with crashes before.
 func (t *Table) endCrashed(now time.Time, reason string) {
 	suspects := t.suspects()
-	for _, ref := range t.refs() {
+	for _, ref := range t.sortedRefs() {
 		r := t.runs[ref]
 		delete(t.runs, ref)
-		if r.lost != nil {
-			t.endLost(now, r)
+		if r.earlierEnd != nil {
+			t.reportEarlierEnd(now, r)
 			continue
 		}
 		e := t.crashedEnd(now, r, suspects, reason)
 		t.rememberCrashed(now, r.lease, e)
-		t.endRunWith(r, e)
+		t.reportEnd(r, e)
 	}
 }
 
 // crashedEnd describes the end of a run that was lost with a crashed life, where so many
 // runs were suspects.
 func (t *Table) crashedEnd(now time.Time, r *run, suspects int, reason string) wire.RunEnd {
-	e := r.lostEnd(now, wire.EndCrashed, reason)
+	e := r.unlistedEnd(now, wire.EndCrashed, reason)
 	e.Instance = t.identity.Incarnation().String()
 	e.Begun = !r.started.IsZero()
 	e.Alone = r.suspect() && suspects == 1
@@ -70,10 +70,10 @@
 // rememberCrashed keeps the end for an owner that cannot be told now.
 func (t *Table) rememberCrashed(now time.Time, lease leaseKey, e wire.RunEnd) {
 	if lease.member != "" {
-		t.recent[e.Ref] = recentEnd{e, now}
+		t.recentEnds[e.Ref] = recentEnd{e, now}
 		return
 	}
-	t.crashed[e.Ref] = crashedRun{lease, e, now}
+	t.crashedRuns[e.Ref] = crashedRun{lease, e, now}
 }
 
 // endSilent ends all runs at a backend server that has been silent until its lease was
@@ -81,43 +81,43 @@
 // address tells, so the runs are remembered until then.
 func (t *Table) endSilent(now time.Time) {
 	suspects := t.suspects()
-	for _, ref := range t.refs() {
+	for _, ref := range t.sortedRefs() {
 		r := t.runs[ref]
-		t.silenced[ref] = crashedRun{r.lease, t.crashedEnd(now, r, suspects, reasonSilent), now}
-		e := r.lostEnd(now, wire.EndLapsed, string(LeaseLapsed))
+		t.silentRuns[ref] = crashedRun{r.lease, t.crashedEnd(now, r, suspects, reasonSilent), now}
+		e := r.unlistedEnd(now, wire.EndLapsed, string(LeaseLapsed))
 		e.Instance = t.identity.Incarnation().String()
-		t.endRunWith(r, e)
+		t.reportEnd(r, e)
 		delete(t.runs, ref)
 	}
 }
 
-// silentCrashed tells the owners of the runs that lapsed in a silence that it was a crash:
+// reportSilentCrashes tells the owners of the runs that lapsed in a silence that it was a crash:
 // the life is over, and had not said so.
-func (t *Table) silentCrashed(now time.Time) {
-	for _, ref := range ordered.KeysFunc(t.silenced, compareRefs) {
-		c := t.silenced[ref]
+func (t *Table) reportSilentCrashes(now time.Time) {
+	for _, ref := range ordered.KeysFunc(t.silentRuns, compareRefs) {
+		c := t.silentRuns[ref]
 		t.rememberCrashed(now, c.lease, c.report)
-		t.endUnder(c.lease, c.report)
+		t.reportEndUnder(c.lease, c.report)
 	}
-	clear(t.silenced)
+	clear(t.silentRuns)
 }
 
-// crashedOf returns the crashed runs under the lease that their owner has not kept.
-func (t *Table) crashedOf(key leaseKey) []wire.RunEnd {
+// crashedUnder returns the crashed runs under the lease that their owner has not kept.
+func (t *Table) crashedUnder(key leaseKey) []wire.RunEnd {
 	var out []wire.RunEnd
-	for _, ref := range ordered.KeysFunc(t.crashed, compareRefs) {
-		if c := t.crashed[ref]; c.lease == key {
+	for _, ref := range ordered.KeysFunc(t.crashedRuns, compareRefs) {
+		if c := t.crashedRuns[ref]; c.lease == key {
 			out = append(out, c.report)
 		}
 	}
 	return out
 }
 
-// forgetCrashed forgets the crashed runs that no owner has asked about for long.
-func (t *Table) forgetCrashed(now time.Time) {
-	for _, runs := range []map[wire.RunRef]crashedRun{t.crashed, t.silenced} {
+// dropOldCrashed forgets the crashed runs that no owner has asked about for long.
+func (t *Table) dropOldCrashed(now time.Time) {
+	for _, runs := range []map[wire.RunRef]crashedRun{t.crashedRuns, t.silentRuns} {
 		for ref, c := range runs {
-			if now.Sub(c.at) > keepCrashed {
+			if now.Sub(c.at) > crashedRunTTL {
 				delete(runs, ref)
 			}
 		}
--- a/jobs/runtable/identity.go
+++ b/jobs/runtable/identity.go
@@ -59,55 +59,55 @@
 	if id.Incarnation() != t.identity.Incarnation() {
 		t.supersede(t.identity.Incarnation())
 		t.reportNumber = 0
-		if t.known {
-			t.succeeded(now, id.Incarnation(), "new_instance")
+		if t.hasIdentity {
+			t.replacedBy(now, id.Incarnation(), "new_instance")
 		}
 	}
-	before, known := t.identity, t.known
+	before, known := t.identity, t.hasIdentity
 	if id.Capacity == (durable.Resources{}) {
 		id.Capacity = t.identity.Capacity
 		id.Service = t.identity.Service
 		id.Labels = t.identity.Labels
 	}
 	t.identity = id
-	t.known = true
+	t.hasIdentity = true
 	if known && before.Equal(&id) {
 		return
 	}
 	for _, o := range t.owners {
-		o.identified = false
+		o.identitySent = false
 	}
-	t.touchOwners()
+	t.queueStatuses()
 	t.effects.Renew = true
 }
 
-// lifeOver ends all runs: the process that ran them is gone.
-func (t *Table) lifeOver(now time.Time, reason string) {
-	t.noteLost(reason)
+// endIncarnation ends all runs: the process that ran them is gone.
+func (t *Table) endIncarnation(now time.Time, reason string) {
+	t.noteBackendLost(reason)
 	if t.leaving() {
 		t.endAll(now, wire.EndLost, reason)
 	} else {
 		t.endCrashed(now, reason)
-		t.silentCrashed(now)
+		t.reportSilentCrashes(now)
 	}
-	clear(t.silenced)
+	clear(t.silentRuns)
 	t.ends = make(map[uint64]*end)
 	t.outcomes = newOutcomes()
-	t.seen, t.acked = 0, 0
-	t.tellsProgress = false
+	t.lastListedEnd, t.ackedEnd = 0, 0
+	t.reportsProgress = false
 	t.token = 0
 	t.clock, t.clockAt = 0, time.Time{}
-	t.granted, t.leaseEnds = 0, time.Time{}
+	t.leaseDeadline, t.leaseEnds = 0, time.Time{}
 	t.silent, t.refusedAt = false, time.Time{}
 	t.synced = false
 	t.lapsing = false
-	t.known = false
+	t.hasIdentity = false
 	t.identity.Ready = false
-	t.touchOwners()
+	t.queueStatuses()
 }
 
-// noteLost says for the log how the life ended, and how many runs went with it.
-func (t *Table) noteLost(reason string) {
+// noteBackendLost says for the log how the life ended, and how many runs went with it.
+func (t *Table) noteBackendLost(reason string) {
 	if t.leaving() {
 		reason += suffixAnnounced
 	}
@@ -116,7 +116,7 @@
 
 // endAll ends all runs that are here, each in the way given.
 func (t *Table) endAll(now time.Time, how wire.End, reason string) {
-	for _, ref := range t.refs() {
+	for _, ref := range t.sortedRefs() {
 		t.endRun(now, t.runs[ref], how, reason)
 		delete(t.runs, ref)
 	}
--- a/jobs/runtable/reborn.go
+++ b/jobs/runtable/inherited.go
@@ -6,26 +6,26 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// succeeded takes the end of the life in force where another is there. One that goes by
+// replacedBy takes the end of the life in force where another is there. One that goes by
 // the same ID takes orders that were meant for the life before. So a run that was ordered
 // and not yet listed may run there: it is stopped there before its owner hears of its end,
 // else its task could run twice at once.
-func (t *Table) succeeded(now time.Time, life Incarnation, reason string) {
-	t.lifeOverBut(now, reason, func(r *run) bool { return !r.listed && life.Instance == t.identity.Instance })
+func (t *Table) replacedBy(now time.Time, next Incarnation, reason string) {
+	t.endIncarnationExcept(now, reason, func(r *run) bool { return !r.listed && next.Instance == t.identity.Instance })
 }
 
-// giveUpLife takes the life in force to be over, since nothing listens any more. An order that is
+// giveUpIncarnation takes the life in force to be over, since nothing listens any more. An order that is
 // on its way may still meet the next life, where that goes by the same ID, also if a stop
 // follows it or a copy of it was answered.
-func (t *Table) giveUpLife(now time.Time, reason string) {
+func (t *Table) giveUpIncarnation(now time.Time, reason string) {
 	onItsWay := func(r *run) bool { return r.started.IsZero() || r.unanswered && !r.listed }
-	t.lifeOverBut(now, reason, func(r *run) bool { return onItsWay(r) && t.identity.Born != 0 })
+	t.endIncarnationExcept(now, reason, func(r *run) bool { return onItsWay(r) && t.identity.Born != 0 })
 }
 
-// lifeOverBut ends all runs but those that the next life may have.
-func (t *Table) lifeOverBut(now time.Time, reason string, mayHave func(r *run) bool) {
+// endIncarnationExcept ends all runs but those that the next life may have.
+func (t *Table) endIncarnationExcept(now time.Time, reason string, mayHave func(r *run) bool) {
 	inherited := t.takeInherited(now, reason, mayHave)
-	t.lifeOver(now, reason)
+	t.endIncarnation(now, reason)
 	for ref, r := range inherited {
 		t.runs[ref] = r
 	}
@@ -38,15 +38,15 @@
 	taken := make(map[wire.RunRef]*run)
 	for _, ref := range t.refsWhere(mayHave) {
 		r := t.runs[ref]
-		if r.lost == nil {
+		if r.earlierEnd == nil {
 			e := t.crashedEnd(now, r, suspects, reason)
 			if t.leaving() {
-				e = r.lostEnd(now, wire.EndLost, reason)
+				e = r.unlistedEnd(now, wire.EndLost, reason)
 			}
-			r.lost = &e
+			r.earlierEnd = &e
 		}
 		r.state = runInherited
-		r.until = now.Add(time.Duration(float64(t.cfg.MaxBackendLease)*(1+t.cfg.Drift)) + lapseMargin)
+		r.inheritedUntil = now.Add(time.Duration(float64(t.cfg.MaxBackendLease)*(1+t.cfg.Drift)) + lapseMargin)
 		taken[ref] = r
 		delete(t.runs, ref)
 	}
@@ -59,7 +59,7 @@
 	if r.unanswered || result == StartAccepted || result == StartUnknown {
 		return
 	}
-	t.endLost(now, r)
+	t.reportEarlierEnd(now, r)
 	delete(t.runs, r.order.Ref)
 }
 
@@ -73,17 +73,17 @@
 // endInherited ends the runs that may have been carried out by a life that has not been
 // heard of: the longest lease that it may have granted them is over.
 func (t *Table) endInherited(now time.Time) {
-	over := func(r *run) bool { return r.state == runInherited && now.After(r.until) }
+	over := func(r *run) bool { return r.state == runInherited && now.After(r.inheritedUntil) }
 	for _, ref := range t.refsWhere(over) {
-		t.endLost(now, t.runs[ref])
+		t.reportEarlierEnd(now, t.runs[ref])
 		delete(t.runs, ref)
 	}
 }
 
-// endLost tells the owner of the run how it was lost with an earlier life.
-func (t *Table) endLost(now time.Time, r *run) {
-	if wire.End(r.lost.How) == wire.EndCrashed {
-		t.rememberCrashed(now, r.lease, *r.lost)
+// reportEarlierEnd tells the owner of the run how it was lost with an earlier life.
+func (t *Table) reportEarlierEnd(now time.Time, r *run) {
+	if wire.End(r.earlierEnd.How) == wire.EndCrashed {
+		t.rememberCrashed(now, r.lease, *r.earlierEnd)
 	}
-	t.endRunWith(r, *r.lost)
+	t.reportEnd(r, *r.earlierEnd)
 }
--- a/jobs/runtable/lapse.go
+++ b/jobs/runtable/lapse.go
@@ -14,14 +14,14 @@
 // here. Their runs are stopped one by one; what is not gone within the grace is
 // ended by letting the backend server's lease lapse.
 func (t *Table) expireLeases(now time.Time) {
-	if t.lapsing || !t.known {
+	if t.lapsing || !t.hasIdentity {
 		return
 	}
-	for _, key := range t.leasesOver(now) {
+	for _, key := range t.expiredLeases(now) {
 		l := t.leases[key]
 		if l.stoppedAt.IsZero() {
 			l.stoppedAt = now
-			t.stopRunsOf(now, key)
+			t.stopRunsUnder(now, key)
 		}
 		if now.Sub(l.stoppedAt) >= t.cfg.StopGrace {
 			t.lapse(now, string(OwnerLeaseEnded))
@@ -29,18 +29,18 @@
 		}
 	}
 	if t.synced && now.Sub(t.syncedAt) > t.cfg.AdoptionTimeout {
-		t.expireUnowned(now)
+		t.lapseUnowned(now)
 	}
 }
 
-// leasesOver returns the leases that are over while something of theirs is here, in
+// expiredLeases returns the leases that are over while something of theirs is here, in
 // their order. Those of coordinators that are gone and have nothing here are forgotten.
-func (t *Table) leasesOver(now time.Time) []leaseKey {
+func (t *Table) expiredLeases(now time.Time) []leaseKey {
 	var over []leaseKey
 	for key, l := range t.leases {
 		isOver := !now.Before(l.expires)
 		switch {
-		case isOver && t.holds(key):
+		case isOver && t.hasWorkUnder(key):
 			over = append(over, key)
 		case isOver && key.member != "" && t.owners[l.owner] == nil:
 			delete(t.leases, key)
@@ -52,20 +52,20 @@
 	return over
 }
 
-// stopRunsOf stops all runs under the lease.
-func (t *Table) stopRunsOf(now time.Time, key leaseKey) {
+// stopRunsUnder stops all runs under the lease.
+func (t *Table) stopRunsUnder(now time.Time, key leaseKey) {
 	t.note(OwnerLeaseEnded, wire.RunRef{}, key.member)
-	for _, ref := range t.refs() {
+	for _, ref := range t.sortedRefs() {
 		r := t.runs[ref]
-		if r != nil && r.under(key) {
+		if r != nil && r.ownedUnder(key) {
 			t.stopRun(now, r)
 		}
 	}
 }
 
-// expireUnowned ends what an earlier process left here of kept jobs, and no coordinator asks
+// lapseUnowned ends what an earlier process left here of kept jobs, and no coordinator asks
 // about.
-func (t *Table) expireUnowned(now time.Time) {
+func (t *Table) lapseUnowned(now time.Time) {
 	for _, r := range t.runs {
 		if t.leases[r.lease] == nil {
 			t.lapse(now, "no_owner")
@@ -80,10 +80,10 @@
 	}
 }
 
-// holds returns whether anything under the lease is here.
-func (t *Table) holds(key leaseKey) bool {
+// hasWorkUnder returns whether anything under the lease is here.
+func (t *Table) hasWorkUnder(key leaseKey) bool {
 	for _, r := range t.runs {
-		if r.under(key) {
+		if r.ownedUnder(key) {
 			return true
 		}
 	}
@@ -99,7 +99,7 @@
 func (t *Table) lapse(now time.Time, reason string) {
 	t.lapsing = true
 	t.note(LeaseLapsing, wire.RunRef{}, reason)
-	t.touchOwners()
+	t.queueStatuses()
 	t.finishLapse(now)
 }
 
@@ -111,8 +111,8 @@
 	}
 	t.lapsing = false
 	t.note(LeaseLapsed, wire.RunRef{}, "")
-	if t.silent && t.refuses() {
-		t.giveUpLife(now, reasonRefused) // whatever it is, all that it ran is dead
+	if t.silent && t.isRefusing() {
+		t.giveUpIncarnation(now, reasonRefused) // whatever it is, all that it ran is dead
 		return
 	}
 	if t.silent {
@@ -123,10 +123,10 @@
 	for _, e := range t.ends {
 		e.stored = true
 	}
-	t.acknowledge()
+	t.acknowledgeStored()
 	t.effects.Renew = true
 	t.reportAll(now)
-	t.touchOwners()
+	t.queueStatuses()
 }
 
 // Resumed tells the table that the box was suspended for so long until now, which the time
@@ -138,8 +138,8 @@
 		t.leaseEnds = t.leaseEnds.Add(suspended)
 	}
 	for _, r := range t.runs {
-		if r.until.After(before) {
-			r.until = r.until.Add(suspended)
+		if r.inheritedUntil.After(before) {
+			r.inheritedUntil = r.inheritedUntil.Add(suspended)
 		}
 	}
 	t.clockAt = t.clockAt.Add(suspended)
--- a/jobs/runtable/leases.go
+++ b/jobs/runtable/leases.go
@@ -59,22 +59,22 @@
 
 // awaitClaim gives the coordinators of unclaimed runs time to ask about them, once.
 func (t *Table) awaitClaim(now time.Time, key leaseKey) {
-	if !t.holds(key) {
+	if !t.hasWorkUnder(key) {
 		t.leases[key] = &ownerLease{expires: now.Add(t.cfg.AdoptionTimeout), reported: true, confirmed: true}
 	}
 }
 
-// valid returns whether the coordinator may order the run: it has the lease,
+// mayOrder returns whether the coordinator may order the run: it has the lease,
 // under the epoch in force, knows what was here before (which only a confirmed owner is
 // told), and the lease lasts.
-func (t *Table) valid(now time.Time, name string, order *wire.RunOrder, key leaseKey) bool {
+func (t *Table) mayOrder(now time.Time, name string, order *wire.RunOrder, key leaseKey) bool {
 	l := t.leases[key]
 	return l != nil && l.owner == name && l.epoch == order.Epoch && l.reported && now.Before(l.expires)
 }
 
-// renewOwner makes a lease count from the stamp that the owner echoes: a
+// extendOwnerLease makes a lease count from the stamp that the owner echoes: a
 // heartbeat that was long on its way renews nothing.
-func (t *Table) renewOwner(l *ownerLease, echo int64, lease time.Duration) {
+func (t *Table) extendOwnerLease(l *ownerLease, echo int64, lease time.Duration) {
 	if echo <= 0 {
 		return
 	}
@@ -103,7 +103,7 @@
 		l.confirmed = false
 	}
 	l.confirmed = l.confirmed || m.Confirmed
-	t.renewOwner(l, m.Echo, t.cfg.OwnerLease)
+	t.extendOwnerLease(l, m.Echo, t.cfg.OwnerLease)
 	t.reportPartition(key, l)
 	return true
 }
--- a/jobs/runtable/owners.go
+++ b/jobs/runtable/owners.go
@@ -11,33 +11,33 @@
 // owner is a connected coordinator.
 type owner struct {
 	member       string        // its process
-	number       uint64        // rises with each connection that is made to this process
-	asks         bool          // about its best-effort runs, to be answered once all is known
+	connNumber   uint64        // rises with each connection that is made to this process
+	queryPending bool          // about its best-effort runs, to be answered once all is known
 	queries      []wire.RunRef // those that it names
 	heartbeatSeq uint64        // of the newest heartbeat
 	startSeq     uint64        // of the newest StartRuns
 	fenced       []uint32      // partitions that it claimed and another has
 	dirty        bool          // is to get a status
-	identified   bool          // has had the identity in force
+	identitySent bool          // has had the identity in force
 }
 
 // OwnerUp tells the table of a connection to a coordinator. name is used for no
 // other connection; member names the coordinator's process.
 func (t *Table) OwnerUp(_ time.Time, name, member string) {
-	t.ownersUp++
-	o := &owner{member: member, number: t.ownersUp}
+	t.ownerConns++
+	o := &owner{member: member, connNumber: t.ownerConns}
 	t.owners[name] = o
-	t.touch(name, o)
+	t.queueStatus(name, o)
 }
 
-// retireEarlier takes nothing more over the earlier connections of a coordinator that is
+// dropEarlierConns takes nothing more over the earlier connections of a coordinator that is
 // heard over a later one. It had given them up before: what it sent there may still arrive
 // when a cut heals, and it has long written off the runs that it ordered so. A connection
 // over which it has sent anything came up here before it made the next, since it first
 // waits for a status.
-func (t *Table) retireEarlier(heard *owner) {
+func (t *Table) dropEarlierConns(current *owner) {
 	for name, o := range t.owners {
-		if o.member == heard.member && o.number < heard.number {
+		if o.member == current.member && o.connNumber < current.connNumber {
 			delete(t.owners, name)
 			t.room.Gone(name)
 		}
@@ -71,11 +71,11 @@
 	if o == nil {
 		return
 	}
-	t.retireEarlier(o)
-	t.hearOwner(now, m.Evacuations)
+	t.dropEarlierConns(o)
+	t.applyOwnerEvacuations(now, m.Evacuations)
 	o.heartbeatSeq = m.Seq
-	t.touch(name, o)
-	t.renewOwner(t.memberLease(name, o.member), m.Echo, t.cfg.BestEffortLease)
+	t.queueStatus(name, o)
+	t.extendOwnerLease(t.memberLease(name, o.member), m.Echo, t.cfg.BestEffortLease)
 	for _, p := range m.Partitions {
 		if !t.renewPartition(name, p, m) {
 			o.fenced = append(o.fenced, p.Partition)
@@ -92,7 +92,7 @@
 	}
 	l.reported = true
 	m := &wire.PartitionRuns{Partition: key.partition, Epoch: l.epoch, StartSeq: t.owners[l.owner].startSeq}
-	for _, ref := range t.refs() {
+	for _, ref := range t.sortedRefs() {
 		if t.runs[ref].lease == key {
 			m.Running = append(m.Running, ref)
 		}
@@ -102,7 +102,7 @@
 			m.Ended = append(m.Ended, e.report)
 		}
 	}
-	m.Ended = append(m.Ended, t.crashedOf(key)...)
+	m.Ended = append(m.Ended, t.crashedUnder(key)...)
 	t.send(l.owner, m)
 }
 
@@ -128,7 +128,7 @@
 		}
 		r.order.Need = n.Need
 		r.needUnknown = false
-		t.touchOwners()
+		t.queueStatuses()
 	}
 }
 
@@ -140,7 +140,7 @@
 	if o == nil {
 		return
 	}
-	o.asks = true
+	o.queryPending = true
 	o.queries = append(o.queries, m.Runs...)
 	t.answerQueries(now, name)
 }
@@ -150,17 +150,17 @@
 // names all that it still wants.
 func (t *Table) answerQueries(now time.Time, name string) {
 	o := t.owners[name]
-	if !o.asks || t.lapsing || !t.synced {
+	if !o.queryPending || t.lapsing || !t.synced {
 		return
 	}
-	o.asks = false
-	t.stopUnnamed(now, o)
+	o.queryPending = false
+	t.stopUnqueried(now, o)
 	m := &wire.PartitionRuns{Partition: wire.BestEffortRuns}
 	for _, ref := range o.queries {
 		if r := t.runs[ref]; r != nil {
-			r.share(leaseKey{member: o.member})
+			r.addOwner(leaseKey{member: o.member})
 			m.Running = append(m.Running, ref)
-		} else if e, ok := t.recent[ref]; ok {
+		} else if e, ok := t.recentEnds[ref]; ok {
 			m.Ended = append(m.Ended, e.report)
 		}
 	}
@@ -168,11 +168,11 @@
 	t.send(name, m)
 }
 
-// stopUnnamed stops the coordinator's best-effort runs about which it does not ask. None is
+// stopUnqueried stops the coordinator's best-effort runs about which it does not ask. None is
 // newer than its question: orders are taken over the same connection.
-func (t *Table) stopUnnamed(now time.Time, o *owner) {
+func (t *Table) stopUnqueried(now time.Time, o *owner) {
 	key := leaseKey{member: o.member}
-	unnamed := func(r *run) bool { return r.under(key) && !slices.Contains(o.queries, r.order.Ref) }
+	unnamed := func(r *run) bool { return r.ownedUnder(key) && !slices.Contains(o.queries, r.order.Ref) }
 	for _, ref := range t.refsWhere(unnamed) {
 		t.stopRun(now, t.runs[ref])
 	}
--- a/jobs/runtable/progress.go
+++ b/jobs/runtable/progress.go
@@ -12,18 +12,18 @@
 	expected time.Duration // from its start to its end; 0 while that is not known
 }
 
-// A pace is worked out over paceLeast, and over the paceShare of longer runs: the percent
+// A pace is worked out over minPaceWindow, and over the paceWindowShare of longer runs: the percent
 // is a whole number, and some of it is chance.
 const (
-	paceLeast = 60 * time.Millisecond // a short task
-	paceShare = 0.25                  // of the estimate
+	minPaceWindow   = 60 * time.Millisecond // a short task
+	paceWindowShare = 0.25                  // of the estimate
 )
 
-// standsStill is how long a run is expected to take that does not advance: more than any limit.
-const standsStill = 24 * time.Hour
+// stalledTime is how long a run is expected to take that does not advance: more than any limit.
+const stalledTime = 24 * time.Hour
 
-// done is the percent of a run that has ended.
-const done = 100
+// donePercent is the percent of a run that has ended.
+const donePercent = 100
 
 // noteProgress takes what a list says of the runs here. A list that was overtaken says
 // nothing.
@@ -34,25 +34,25 @@
 	t.progressSeq = seq
 	for i := range running {
 		l := &running[i]
-		t.tellsProgress = t.tellsProgress || l.Percent > 0
-		if r := t.runs[l.Ref]; r != nil && r.state == runRunning && t.tellsProgress {
-			r.advance(now, l.Percent)
+		t.reportsProgress = t.reportsProgress || l.Percent > 0
+		if r := t.runs[l.Ref]; r != nil && r.state == runRunning && t.reportsProgress {
+			r.updatePace(now, l.Percent)
 		}
 	}
 }
 
-// advance works out the pace of the run once enough time has passed since the last time.
-func (r *run) advance(now time.Time, percent int) {
+// updatePace works out the pace of the run once enough time has passed since the last time.
+func (r *run) updatePace(now time.Time, percent int) {
 	if r.progress.at.IsZero() {
 		r.progress.at = r.started
 	}
 	passed := now.Sub(r.progress.at)
-	if passed < max(paceLeast, time.Duration(paceShare*float64(r.estimate()))) {
+	if passed < max(minPaceWindow, time.Duration(paceWindowShare*float64(r.estimate()))) {
 		return
 	}
-	left := standsStill
+	left := stalledTime
 	if made := percent - r.progress.percent; made > 0 {
-		left = passed * time.Duration(done-percent) / time.Duration(made)
+		left = passed * time.Duration(donePercent-percent) / time.Duration(made)
 	}
 	r.progress = progress{at: now, percent: percent, expected: now.Sub(r.started) + left}
 }
@@ -63,34 +63,34 @@
 	return max(now.Sub(r.started), r.progress.expected)
 }
 
-// left returns how long the run goes on, at its present pace. One that is over what was
+// remaining returns how long the run goes on, at its present pace. One that is over what was
 // expected is thought to take as long again as it is over; one of which no pace is known, for
 // ever.
-func (r *run) left(now time.Time) time.Duration {
+func (r *run) remaining(now time.Time) time.Duration {
 	if r.progress.expected == 0 {
-		return standsStill
+		return stalledTime
 	}
 	return (r.progress.expected - now.Sub(r.started)).Abs()
 }
 
 // What a start anew takes beyond the estimate.
 const (
-	anewScatter = 1.4                   // times the estimate: runs scatter by so much
-	anewStart   = 50 * time.Millisecond // to stop, report, order and start
+	restartSpread   = 1.4                   // times the estimate: runs scatter by so much
+	restartOverhead = 50 * time.Millisecond // to stop, report, order and start
 )
 
-// anew returns how long the task would take if it were started elsewhere.
-func (r *run) anew() time.Duration {
-	return anewStart + time.Duration(anewScatter*float64(r.estimate()))
+// restartTime returns how long the task would take if it were started elsewhere.
+func (r *run) restartTime() time.Duration {
+	return restartOverhead + time.Duration(restartSpread*float64(r.estimate()))
 }
 
 func (r *run) estimate() time.Duration { return time.Duration(r.order.EstimateMS) * time.Millisecond }
 
-// pace says for the log how long the run has taken, will take, and may take.
-func (r *run) pace(now time.Time) string {
+// paceText says for the log how long the run has taken, will take, and may take.
+func (r *run) paceText(now time.Time) string {
 	took := now.Sub(r.started).Round(time.Millisecond)
 	expected := r.expected(now).Round(time.Millisecond)
-	if expected >= standsStill {
+	if expected >= stalledTime {
 		return fmt.Sprintf("stands still after %v, limit %v", took, r.limit())
 	}
 	return fmt.Sprintf("%v of %v, limit %v", took, expected, r.limit())
--- a/jobs/runtable/renew.go
+++ b/jobs/runtable/renew.go
@@ -8,25 +8,25 @@
 func (t *Table) NextRenewal(now time.Time) (call RenewCall, ok bool) {
 	t.expireLeases(now)
 	t.finishLapse(now)
-	if !t.known || t.lapsing {
+	if !t.hasIdentity || t.lapsing {
 		return RenewCall{}, false
 	}
 	t.renewSeq++
-	t.renewals[t.renewSeq] = false
-	call = RenewCall{Instance: t.identity.Instance, Born: t.identity.Born, Seq: t.renewSeq, Token: t.token, LastSeen: t.acked, OverdueAfter: t.cfg.RenewOverdueAfter, Limit: t.renewLimit()}
+	t.pendingRenewals[t.renewSeq] = false
+	call = RenewCall{Instance: t.identity.Instance, Born: t.identity.Born, Seq: t.renewSeq, Token: t.token, LastSeen: t.ackedEnd, OverdueAfter: t.cfg.RenewOverdueAfter, Limit: t.renewLimit()}
 	if t.token == 0 {
 		return call, true
 	}
 	if t.synced {
-		call.Deadline = t.deadline(now)
+		call.Deadline = t.extendBackendLease(now)
 	}
 	call.Wait = t.renewWait(now)
 	return call, true
 }
 
-// wary is how long after a call without an answer the backend server is thought to leave more
+// recentFailureWindow is how long after a call without an answer the backend server is thought to leave more
 // of them unanswered. Some faults of a backend server last so long.
-const wary = 5 * time.Second
+const recentFailureWindow = 5 * time.Second
 
 // renewWait returns how long the next renewal may wait at the backend server for news.
 // One that has no answer makes the worker deaf until it is given up. So waits are short
@@ -35,9 +35,9 @@
 // a second; what they risk is one long deafness, of the first call without an answer.
 func (t *Table) renewWait(now time.Time) time.Duration {
 	switch {
-	case !t.synced || t.unanswered > 0:
+	case !t.synced || t.unansweredRenewals > 0:
 		return 0
-	case len(t.runs) > 0 && now.Sub(t.unansweredAt) < wary:
+	case len(t.runs) > 0 && now.Sub(t.unansweredAt) < recentFailureWindow:
 		return t.cfg.ShortRenewWait
 	}
 	return t.cfg.LongRenewWait
@@ -47,7 +47,7 @@
 // wait: twice as long after each that had none, since the box may be slow.
 func (t *Table) renewLimit() time.Duration {
 	limit := t.cfg.RenewLimit
-	for i := 0; i < t.unanswered && limit < t.cfg.CallLimit; i++ {
+	for i := 0; i < t.unansweredRenewals && limit < t.cfg.CallLimit; i++ {
 		limit *= 2
 	}
 	return min(limit, t.cfg.CallLimit)
@@ -56,38 +56,38 @@
 // RenewOverdue tells the table that a RenewCall has had no answer within its wait and
 // Settings.RenewPatience. Its answer may still come; the next renewal asks at once.
 func (t *Table) RenewOverdue(call RenewCall) {
-	overdue, onItsWay := t.renewals[call.Seq]
+	overdue, onItsWay := t.pendingRenewals[call.Seq]
 	if !onItsWay || overdue {
 		return // it was answered in the same moment
 	}
-	t.renewals[call.Seq] = true
-	if call.Incarnation() == t.identity.Incarnation() && t.known {
-		t.unanswered++
+	t.pendingRenewals[call.Seq] = true
+	if call.Incarnation() == t.identity.Incarnation() && t.hasIdentity {
+		t.unansweredRenewals++
 	}
 }
 
 // RenewAnswered tells the table of the answer to a RenewCall. Answers may come in any
 // order.
 func (t *Table) RenewAnswered(now time.Time, call RenewCall, a RenewAnswer) {
-	overdue := t.renewals[call.Seq]
-	delete(t.renewals, call.Seq)
-	if call.Incarnation() != t.identity.Incarnation() || !t.known {
+	overdue := t.pendingRenewals[call.Seq]
+	delete(t.pendingRenewals, call.Seq)
+	if call.Incarnation() != t.identity.Incarnation() || !t.hasIdentity {
 		return
 	}
 	if a.Result != RenewUnanswered {
-		t.unanswered = 0
+		t.unansweredRenewals = 0
 	}
 	switch a.Result {
 	case RenewConnectionRefused:
-		t.refused(now)
+		t.connectionRefused(now)
 	case RenewWrongIncarnation:
-		t.lifeOver(now, "wrong_life")
+		t.endIncarnation(now, "wrong_life")
 	case RenewRestarted:
-		t.succeeded(now, Incarnation{Instance: call.Instance}, "reborn")
+		t.replacedBy(now, Incarnation{Instance: call.Instance}, "reborn")
 	case RenewUnanswered:
 		t.unansweredAt = now
 		if !overdue {
-			t.unanswered++
+			t.unansweredRenewals++
 		}
 	case RenewFenced:
 		t.setClock(now, a.Clock)
@@ -108,7 +108,7 @@
 	if call.Token != t.token || t.lapsing {
 		return
 	}
-	t.listed(now, call, a)
+	t.applyLists(now, call, a)
 }
 
 // newToken takes a fencing token above that of any earlier process here: the
@@ -126,49 +126,49 @@
 	}
 }
 
-// deadline returns the end of a lease that begins now, on the backend server's
+// extendBackendLease returns the end of a lease that begins now, on the backend server's
 // clock, and notes until when it may last by ours. That of a silent one, or one that is to
 // lapse, is not renewed. One that was asked for is never shortened.
-func (t *Table) deadline(now time.Time) time.Duration {
+func (t *Table) extendBackendLease(now time.Time) time.Duration {
 	if t.silent || t.lapsing {
-		return t.granted
+		return t.leaseDeadline
 	}
-	lease := t.leaseBound(now).Sub(now)
+	lease := t.leaseLimit(now).Sub(now)
 	if lease > 0 {
-		t.leaseEnds = latest(t.leaseEnds, now.Add(t.longest(lease)))
-		t.granted = max(t.granted, t.clock+now.Sub(t.clockAt)+lease)
+		t.leaseEnds = latest(t.leaseEnds, now.Add(t.withDrift(lease)))
+		t.leaseDeadline = max(t.leaseDeadline, t.clock+now.Sub(t.clockAt)+lease)
 	}
-	return t.granted
+	return t.leaseDeadline
 }
 
-// longest returns how long a lease may last by our clock.
-func (t *Table) longest(lease time.Duration) time.Duration {
+// withDrift returns how long a lease may last by our clock.
+func (t *Table) withDrift(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease) * (1 + t.cfg.Drift))
 }
 
-// leaseBound returns until when a lease of the backend server that begins now may last. Where
+// leaseLimit returns until when a lease of the backend server that begins now may last. Where
 // something is here of an owner whose lease is over, that is reckoned from that end, as the
 // owner does, however late it is seen here.
-func (t *Table) leaseBound(now time.Time) time.Time {
+func (t *Table) leaseLimit(now time.Time) time.Time {
 	bound := now.Add(t.cfg.BackendLease)
 	for _, r := range t.runs {
-		bound = t.earlierOf(bound, r.lease)
-		for _, key := range r.also {
-			bound = t.earlierOf(bound, key)
+		bound = t.limitByOwner(bound, r.lease)
+		for _, key := range r.coOwners {
+			bound = t.limitByOwner(bound, key)
 		}
 	}
 	for _, e := range t.ends {
 		if !e.stored {
-			bound = t.earlierOf(bound, e.lease)
+			bound = t.limitByOwner(bound, e.lease)
 		}
 	}
 	return bound
 }
 
-// earlierOf returns the bound, or until when what is here under the lease may live if that is
+// limitByOwner returns the bound, or until when what is here under the lease may live if that is
 // earlier. When the owner of an unclaimed run last heard of us nobody knows, so that one gets no
 // more than the time to be claimed or stopped.
-func (t *Table) earlierOf(bound time.Time, key leaseKey) time.Time {
+func (t *Table) limitByOwner(bound time.Time, key leaseKey) time.Time {
 	l := t.leases[key]
 	if l == nil {
 		return bound
--- a/jobs/runtable/lives.go
+++ b/jobs/runtable/reports.go
@@ -23,8 +23,8 @@
 // many crashes is not expected, and would only be asked about once more.
 const maxSuperseded = 16
 
-// lastReport is the number of a report after which none of the life counts.
-const lastReport = math.MaxUint64
+// noMoreReports is the number of a report after which none of the life counts.
+const noMoreReports = math.MaxUint64
 
 // Reported takes a report. One of the life in force counts if none that was sent later
 // has come. One of any other life is believed once the backend server has answered under
@@ -34,16 +34,16 @@
 	switch {
 	case slices.Contains(t.superseded, r.Incarnation()):
 		t.noteFrequent(ReportLate, wire.RunRef{}, reasonLifeOver)
-	case t.known && r.Incarnation() == t.identity.Incarnation():
-		t.reportedAgain(now, r)
+	case t.hasIdentity && r.Incarnation() == t.identity.Incarnation():
+		t.currentReported(now, r)
 	default:
 		t.addCandidate(r)
-		t.askNext()
+		t.probeNext()
 	}
 }
 
-// reportedAgain takes a report of the life in force.
-func (t *Table) reportedAgain(now time.Time, r Report) {
+// currentReported takes a report of the life in force.
+func (t *Table) currentReported(now time.Time, r Report) {
 	if r.Number != 0 && r.Number <= t.reportNumber {
 		t.noteFrequent(ReportLate, wire.RunRef{}, reasonOvertaken)
 		return
@@ -66,43 +66,43 @@
 	t.candidates = append(t.candidates, r)
 }
 
-// askNext asks the backend server whether it is the first of the candidates. One
+// probeNext asks the backend server whether it is the first of the candidates. One
 // question is on its way at a time, so that answers come in the order of the questions.
-func (t *Table) askNext() {
-	if t.asking != (Incarnation{}) || len(t.candidates) == 0 {
+func (t *Table) probeNext() {
+	if t.probing != (Incarnation{}) || len(t.candidates) == 0 {
 		return
 	}
-	t.asking = t.candidates[0].Incarnation()
-	t.effects.Probe = &RenewCall{Instance: t.asking.Instance, Born: t.asking.Born, Limit: t.cfg.CallLimit}
+	t.probing = t.candidates[0].Incarnation()
+	t.effects.Probe = &RenewCall{Instance: t.probing.Instance, Born: t.probing.Born, Limit: t.cfg.CallLimit}
 }
 
 // ProbeAnswered takes the answer to the question of Effects.Ask: a RenewCall without a token,
 // which renews nothing. It is answered, or refused for its token, by that life alone.
 func (t *Table) ProbeAnswered(now time.Time, call RenewCall, result RenewResult) {
-	if call.Incarnation() != t.asking {
+	if call.Incarnation() != t.probing {
 		return
 	}
-	t.asking = Incarnation{}
+	t.probing = Incarnation{}
 	switch result {
 	case RenewUnanswered:
 	case RenewOK, RenewFenced:
-		c := t.takeCandidate(call.Incarnation())
+		c := t.removeCandidate(call.Incarnation())
 		t.Identify(now, c.Identity)
 		t.reportNumber = c.Number
 		t.coldUntil = now.Add(c.Cold)
 	case RenewWrongIncarnation, RenewRestarted:
-		t.takeCandidate(call.Incarnation())
+		t.removeCandidate(call.Incarnation())
 		t.supersede(call.Incarnation())
 		t.note(ReportLate, wire.RunRef{}, reasonLifeOver)
 	case RenewConnectionRefused:
 		// Whichever life it was, its next report asks again.
-		t.takeCandidate(call.Incarnation())
+		t.removeCandidate(call.Incarnation())
 	}
-	t.askNext()
+	t.probeNext()
 }
 
-// takeCandidate removes the candidate and returns it.
-func (t *Table) takeCandidate(life Incarnation) Report {
+// removeCandidate removes the candidate and returns it.
+func (t *Table) removeCandidate(life Incarnation) Report {
 	at := slices.IndexFunc(t.candidates, func(c Report) bool { return c.Incarnation() == life })
 	c := t.candidates[at]
 	t.candidates = slices.Delete(t.candidates, at, at+1)
@@ -112,11 +112,11 @@
 // Deregistered takes the backend server's word that the life ends: it takes no more
 // tasks, and no report of it counts any more.
 func (t *Table) Deregistered(now time.Time, life Incarnation) {
-	if !t.known || life != t.identity.Incarnation() {
+	if !t.hasIdentity || life != t.identity.Incarnation() {
 		t.noteFrequent(ReportLate, wire.RunRef{}, reasonLifeOver)
 		return
 	}
-	t.reportNumber = lastReport
+	t.reportNumber = noMoreReports
 	id := t.identity
 	id.Ready = false
 	t.Identify(now, id)
--- a/jobs/runtable/run.go
+++ b/jobs/runtable/run.go
@@ -24,39 +24,41 @@
 type run struct {
 	order wire.RunOrder
 	lease leaseKey // of the owner under whose lease it runs
-	// also holds the leases of other coordinators that have ordered the same run of a
+	// coOwners holds the leases of other coordinators that have ordered the same run of a
 	// best-effort job: each is told of its end, and it ends with the first of the leases.
-	also        []leaseKey
-	state       runState
-	firstSent   time.Time // to the backend server
-	started     time.Time // when the start was answered, or the run adopted
-	verifyAfter uint64    // a renewal later than this one decides what became of it
-	stop        bool      // stop as soon as the start is answered
-	unanswered  bool      // an order had no answer: it may be carried out late
-	progress    progress  // what lists have said of it
-	before      uint64    // how many runs had ended here when it was started (speed.Meter.Runs)
-	cold        bool      // began while the backend server was cold: that it is slow says nothing
-	straggled   bool      // was stopped since it was over its limit
-	needUnknown bool      // was ordered by an earlier process, and its owner has not told its need
-	listed      bool      // the life in force has called it running
-	// lost is how it ended if the life in force never had it: it was ordered of an earlier
+	coOwners        []leaseKey
+	state           runState
+	firstSent       time.Time // to the backend server
+	started         time.Time // when the start was answered, or the run adopted
+	verifyAfter     uint64    // a renewal later than this one decides what became of it
+	stopOnceStarted bool      // stop as soon as the start is answered
+	unanswered      bool      // an order had no answer: it may be carried out late
+	progress        progress  // what lists have said of it
+	endedBefore     uint64    // how many runs had ended here when it was started (speed.Meter.Runs)
+	cold            bool      // began while the backend server was cold: that it is slow says nothing
+	straggled       bool      // was stopped since it was over its limit
+	needUnknown     bool      // was ordered by an earlier process, and its owner has not told its need
+	listed          bool      // the life in force has called it running
+	// earlierEnd is how it ended if the life in force never had it: it was ordered of an earlier
 	// life of the same ID. nil otherwise.
-	lost  *wire.RunEnd
-	until time.Time // when a runInherited has ended for certain
+	earlierEnd     *wire.RunEnd
+	inheritedUntil time.Time // when a runInherited has ended for certain
 }
 
-// under returns whether the run is the owner's whose lease it is.
-func (r *run) under(key leaseKey) bool { return r.lease == key || slices.Contains(r.also, key) }
+// ownedUnder returns whether the run is the owner's whose lease it is.
+func (r *run) ownedUnder(key leaseKey) bool {
+	return r.lease == key || slices.Contains(r.coOwners, key)
+}
 
-// share makes the run also that of the owner whose lease it is. If it were taken from the one
+// addOwner makes the run also that of the owner whose lease it is. If it were taken from the one
 // before, that one would hear no more of it; if it were handed back, its task would run twice.
-func (r *run) share(key leaseKey) {
+func (r *run) addOwner(key leaseKey) {
 	switch {
-	case r.under(key):
+	case r.ownedUnder(key):
 	case r.lease.member == unclaimed:
 		r.lease = key
 	default:
-		r.also = append(r.also, key)
+		r.coOwners = append(r.coOwners, key)
 	}
 }
 
@@ -77,8 +79,8 @@
 	return time.Duration(r.order.LimitMS) * time.Millisecond
 }
 
-// refs returns the runs here, in their order.
-func (t *Table) refs() []wire.RunRef { return ordered.KeysFunc(t.runs, compareRefs) }
+// sortedRefs returns the runs here, in their order.
+func (t *Table) sortedRefs() []wire.RunRef { return ordered.KeysFunc(t.runs, compareRefs) }
 
 // refsWhere returns the runs here that are wanted, in their order. Most looks at the
 // runs want none: this one sorts only what it returns.
@@ -123,7 +125,7 @@
 // adopt takes over what an earlier process here started. What that one asked for may last for
 // a lease from now.
 func (t *Table) adopt(now time.Time, running []ListedRun) {
-	t.leaseEnds = latest(t.leaseEnds, now.Add(t.longest(t.cfg.BackendLease)))
+	t.leaseEnds = latest(t.leaseEnds, now.Add(t.withDrift(t.cfg.BackendLease)))
 	for _, l := range running {
 		if t.runs[l.Ref] != nil {
 			continue
--- a/jobs/runtable/runtable.go
+++ b/jobs/runtable/runtable.go
@@ -54,63 +54,63 @@
 	cfg   Settings
 	began time.Time // when the process began; stamps count from it
 
-	identity Identity
-	known    bool // identity holds a life
+	identity    Identity
+	hasIdentity bool // identity holds a life
 	// reportNumber is that of the newest report of the life.
 	reportNumber uint64
 	coldUntil    time.Time     // the backend server is slow until then, by its own word
 	superseded   []Incarnation // lives that are over, the latest last
 	candidates   []Report      // of lives that may be the present one, in the order in which they came
-	asking       Incarnation   // the candidate that is asked about; empty when none is
+	probing      Incarnation   // the candidate that is asked about; empty when none is
 	token        uint64        // fencing token; 0 until the backend server's clock is known
 	clock        time.Duration // of the backend server, as of clockAt
 	clockAt      time.Time
 	synced       bool // the backend server's list of runs has been read under our token
 	syncedAt     time.Time
 
-	runs     map[wire.RunRef]*run
-	outcomes outcomes        // of the runs of this life
-	ends     map[uint64]*end // by their number
-	seen     uint64          // greatest number of an end that was listed
-	acked    uint64          // every end up to it is stored by its owner
+	runs          map[wire.RunRef]*run
+	outcomes      outcomes        // of the runs of this life
+	ends          map[uint64]*end // by their number
+	lastListedEnd uint64          // greatest number of an end that was listed
+	ackedEnd      uint64          // every end up to it is stored by its owner
 
 	renewSeq uint64
 	// progressSeq is the renewal that told of progress last, and tellsProgress whether any
 	// of this life has.
-	progressSeq   uint64
-	tellsProgress bool
-	unanswered    int             // renewals in a row that had no answer
-	renewals      map[uint64]bool // those on their way, by Seq; whether they are overdue
+	progressSeq        uint64
+	reportsProgress    bool
+	unansweredRenewals int             // renewals in a row that had no answer
+	pendingRenewals    map[uint64]bool // those on their way, by Seq; whether they are overdue
 	// unansweredAt is when a call of any kind last had no answer.
-	unansweredAt time.Time
-	leaseEnds    time.Time     // when the backend server's lease is over for certain
-	granted      time.Duration // the end of the lease that was asked for last, on its clock
-	lapsing      bool          // nothing is renewed until the lease is over
-	silent       bool          // the backend server does not answer
-	refusedAt    time.Time     // when it last refused a connection
-	noRoomAt     time.Time     // when the backend server last had less room than we thought
-
-	evacuations routing.Evacuations // the newest word of them
-	evacuated   bool                // this data centre is among them
-	toldAt      time.Time           // when the store told the coordinator that knows latest
+	unansweredAt  time.Time
+	leaseEnds     time.Time     // when the backend server's lease is over for certain
+	leaseDeadline time.Duration // the end of the lease that was asked for last, on its clock
+	lapsing       bool          // nothing is renewed until the lease is over
+	silent        bool          // the backend server does not answer
+	refusedAt     time.Time     // when it last refused a connection
+	noRoomAt      time.Time     // when the backend server last had less room than we thought
+
+	evacuations       routing.Evacuations // the newest word of them
+	evacuated         bool                // this data centre is among them
+	evacReadAt time.Time           // when the store told the coordinator that knows latest
 
 	leases map[leaseKey]*ownerLease
 	owners map[string]*owner // by connection; those that were retired are not among them
-	// ownersUp counts the connections of owners so far.
-	ownersUp uint64
-	dirty    []string // owners that are to get a status
-	room     *room.Table
-	// shared says that somebody asks for room, so that not all are told of what is free.
-	shared bool
-	recent map[wire.RunRef]recentEnd
-	// unknownAt is when runs that the table does not know were stopped last.
-	unknownAt time.Time
-	// crashed holds the runs of kept jobs that were lost with crashed lives, until their
+	// ownerConns counts the connections of owners so far.
+	ownerConns uint64
+	dirty      []string // owners that are to get a status
+	room       *room.Table
+	// capacityShared says that somebody asks for room, so that not all are told of what is free.
+	capacityShared bool
+	recentEnds     map[wire.RunRef]recentEnd
+	// unknownStoppedAt is when runs that the table does not know were stopped last.
+	unknownStoppedAt time.Time
+	// crashedRuns holds the runs of kept jobs that were lost with crashedRuns lives, until their
 	// owners have kept that.
-	crashed map[wire.RunRef]crashedRun
-	// silenced holds the runs whose lease lapsed while the backend server was silent, until
+	crashedRuns map[wire.RunRef]crashedRun
+	// silentRuns holds the runs whose lease lapsed while the backend server was silent, until
 	// it answers again or its next life shows that it had crashed.
-	silenced map[wire.RunRef]crashedRun
+	silentRuns map[wire.RunRef]crashedRun
 
 	effects Effects
 }
@@ -134,25 +134,25 @@
 // New returns an empty table; now is when the process began.
 func New(cfg Settings, now time.Time) *Table {
 	return &Table{
-		cfg:      cfg,
-		began:    now,
-		toldAt:   now,
-		runs:     make(map[wire.RunRef]*run),
-		ends:     make(map[uint64]*end),
-		leases:   make(map[leaseKey]*ownerLease),
-		owners:   make(map[string]*owner),
-		recent:   make(map[wire.RunRef]recentEnd),
-		crashed:  make(map[wire.RunRef]crashedRun),
-		silenced: make(map[wire.RunRef]crashedRun),
-		renewals: make(map[uint64]bool),
-		outcomes: newOutcomes(),
-		room:     room.New(cfg.Room),
+		cfg:               cfg,
+		began:             now,
+		evacReadAt: now,
+		runs:              make(map[wire.RunRef]*run),
+		ends:              make(map[uint64]*end),
+		leases:            make(map[leaseKey]*ownerLease),
+		owners:            make(map[string]*owner),
+		recentEnds:        make(map[wire.RunRef]recentEnd),
+		crashedRuns:       make(map[wire.RunRef]crashedRun),
+		silentRuns:        make(map[wire.RunRef]crashedRun),
+		pendingRenewals:   make(map[uint64]bool),
+		outcomes:          newOutcomes(),
+		room:              room.New(cfg.Room),
 	}
 }
 
 // Take returns what has to be done since the last call.
 func (t *Table) Take(now time.Time) Effects {
-	t.shareRoom(now)
+	t.shareCapacity(now)
 	t.sendStatuses(now)
 	e := t.effects
 	t.effects = Effects{}
@@ -168,8 +168,8 @@
 	t.endInherited(now)
 	t.stopUnansweredStarts(now)
 	t.stopStragglers(now)
-	t.forgetRecent(now)
-	t.forgetCrashed(now)
+	t.dropOldEnds(now)
+	t.dropOldCrashed(now)
 }
 
 func (t *Table) send(owner string, m wire.Message) {
--- a/jobs/runtable/starts.go
+++ b/jobs/runtable/starts.go
@@ -18,24 +18,24 @@
 		return
 	}
 	o.startSeq = m.Seq
-	t.touch(name, o)
-	t.shareRoom(now) // what has come free in the same moment is not for who orders first
+	t.queueStatus(name, o)
+	t.shareCapacity(now) // what has come free in the same moment is not for who orders first
 	t.room.Ordered(now, name, m.Seen)
 	taken := false
 	for i := range m.Runs {
-		taken = t.order(now, name, &m.Runs[i]) || taken
+		taken = t.takeOrder(now, name, &m.Runs[i]) || taken
 	}
 	if taken {
 		t.room.Took(name, t.free())
 	}
 }
 
-// order takes one order, or hands it back at once: the coordinator may have room
+// takeOrder takes one takeOrder, or hands it back at once: the coordinator may have room
 // for it elsewhere. It returns whether a run begins.
-func (t *Table) order(now time.Time, name string, order *wire.RunOrder) bool {
+func (t *Table) takeOrder(now time.Time, name string, order *wire.RunOrder) bool {
 	key := t.leaseOf(t.owners[name], order)
 	if r := t.runs[order.Ref]; r != nil {
-		r.share(key)
+		r.addOwner(key)
 		return false
 	}
 	if reason := t.refusal(now, name, order, key); reason != "" {
@@ -55,7 +55,7 @@
 // one server more, after all coordinators have lost their memory for it one too many.
 func (t *Table) refusal(now time.Time, name string, order *wire.RunOrder, key leaseKey) string {
 	switch {
-	case !t.valid(now, name, order, key):
+	case !t.mayOrder(now, name, order, key):
 		return "no_lease"
 	case t.evacuated:
 		return "evacuated"
@@ -72,7 +72,7 @@
 }
 
 func (t *Table) canStart() bool {
-	return t.known && t.identity.Ready && t.synced && !t.lapsing && !t.silent && !t.evacuated
+	return t.hasIdentity && t.identity.Ready && t.synced && !t.lapsing && !t.silent && !t.evacuated
 }
 
 func (t *Table) sendStart(now time.Time, r *run) {
@@ -81,7 +81,7 @@
 		Born:       t.identity.Born,
 		Ref:        r.order.Ref,
 		Spec:       r.order.Spec,
-		Deadline:   t.deadline(now),
+		Deadline:   t.extendBackendLease(now),
 		Token:      t.token,
 		Checkpoint: r.order.Checkpoint,
 	})
@@ -104,42 +104,42 @@
 	case StartAccepted:
 		r.state = runRunning
 		r.started = now
-		r.before = t.outcomes.speed.Runs()
+		r.endedBefore = t.outcomes.speed.Runs()
 		r.cold = now.Before(t.coldUntil)
-		if r.stop {
+		if r.stopOnceStarted {
 			t.sendStop(r)
 		}
 	case StartUnknown:
 		r.unanswered = true
-		t.repeatStart(now, r)
+		t.resendStart(now, r)
 	case StartConnectionRefused:
-		t.neverSent(now, r)
-		t.refused(now)
+		t.endUnsent(now, r)
+		t.connectionRefused(now)
 	case StartRunNumberUsed:
-		t.verify(r)
+		t.verifyByList(r)
 	default:
 		t.startRefused(now, r, result)
 	}
 }
 
-// neverSent ends a run to whose order no connection could be made, unless an earlier copy
+// endUnsent ends a run to whose order no connection could be made, unless an earlier copy
 // of it may have arrived: the backend server was gone before it, so it did not crash under
 // the run.
-func (t *Table) neverSent(now time.Time, r *run) {
+func (t *Table) endUnsent(now time.Time, r *run) {
 	if !r.unanswered {
 		delete(t.runs, r.order.Ref)
 		t.endRun(now, r, wire.EndNotRun, reasonRefused)
 	}
 }
 
-// repeatStart repeats an order without an answer: the run number makes both one. In an
+// resendStart repeats an order without an answer: the run number makes both one. In an
 // evacuated data centre, and where it is no longer wanted, the run is stopped instead.
 // A silent backend server gets it when it answers again.
-func (t *Table) repeatStart(now time.Time, r *run) {
+func (t *Table) resendStart(now time.Time, r *run) {
 	if t.silent {
 		return
 	}
-	if t.evacuated || r.stop {
+	if t.evacuated || r.stopOnceStarted {
 		t.sendStop(r)
 		return
 	}
--- a/jobs/runtable/status.go
+++ b/jobs/runtable/status.go
@@ -13,18 +13,18 @@
 	return max(1, now.Sub(t.began).Microseconds())
 }
 
-// touch makes the coordinator get a status with the next Effects.
-func (t *Table) touch(name string, o *owner) {
+// queueStatus makes the coordinator get a status with the next Effects.
+func (t *Table) queueStatus(name string, o *owner) {
 	if !o.dirty {
 		o.dirty = true
 		t.dirty = append(t.dirty, name)
 	}
 }
 
-// touchOwners makes every coordinator get a status with the next Effects.
-func (t *Table) touchOwners() {
+// queueStatuses makes every coordinator get a status with the next Effects.
+func (t *Table) queueStatuses() {
 	for name, o := range t.owners {
-		t.touch(name, o)
+		t.queueStatus(name, o)
 	}
 }
 
@@ -34,7 +34,7 @@
 		return
 	}
 	slices.Sort(t.dirty)
-	slowness := inPercent(t.slownessNow(now))
+	slowness := percent(t.slowness(now))
 	for _, name := range t.dirty {
 		o := t.owners[name]
 		if o == nil || !o.dirty {
@@ -50,9 +50,9 @@
 
 func (t *Table) status(now time.Time, name string, o *owner, slowness uint32) *wire.WorkerStatus {
 	s := &wire.WorkerStatus{
-		TimeFactor:   inPercent(t.outcomes.speed.Factor()),
+		TimeFactor:   percent(t.outcomes.speed.Factor()),
 		Slowness:     slowness,
-		Failing:      inPercent(t.outcomes.failing),
+		Failing:      percent(t.outcomes.failing),
 		Stamp:        t.stamp(now),
 		HeartbeatSeq: o.heartbeatSeq,
 		StartSeq:     o.startSeq,
@@ -62,8 +62,8 @@
 		Fenced:       o.fenced,
 	}
 	o.fenced = nil
-	if !o.identified {
-		o.identified = true
+	if !o.identitySent {
+		o.identitySent = true
 		s.Identity = t.identity.message()
 	}
 	return s
--- a/jobs/runtable/stops.go
+++ b/jobs/runtable/stops.go
@@ -11,22 +11,22 @@
 func (t *Table) Stop(now time.Time, name string, m *wire.StopRuns) {
 	t.expireLeases(now)
 	for _, ref := range m.Runs {
-		if r := t.runs[ref]; r != nil && t.orderedBy(r, name) {
+		if r := t.runs[ref]; r != nil && t.ownedBy(r, name) {
 			t.stopRun(now, r)
 		}
 	}
 }
 
-// orderedBy returns whether the run is that of the coordinator on the connection.
-func (t *Table) orderedBy(r *run, name string) bool {
+// ownedBy returns whether the run is that of the coordinator on the connection.
+func (t *Table) ownedBy(r *run, name string) bool {
 	owned := func(key leaseKey) bool { return t.leases[key] != nil && t.leases[key].owner == name }
-	return owned(r.lease) || slices.ContainsFunc(r.also, owned)
+	return owned(r.lease) || slices.ContainsFunc(r.coOwners, owned)
 }
 
 func (t *Table) stopRun(now time.Time, r *run) {
 	switch r.state {
 	case runStarting:
-		r.stop = true
+		r.stopOnceStarted = true
 	case runRunning:
 		t.sendStop(r)
 	}
@@ -34,11 +34,11 @@
 
 func (t *Table) sendStop(r *run) {
 	r.state = runStopping
-	t.orderStop(r.order.Ref)
+	t.addStopCall(r.order.Ref)
 }
 
-// orderStop has the backend server stop a run in the life in force.
-func (t *Table) orderStop(ref wire.RunRef) {
+// addStopCall has the backend server stop a run in the life in force.
+func (t *Table) addStopCall(ref wire.RunRef) {
 	t.effects.Stops = append(t.effects.Stops, StopCall{Instance: t.identity.Instance, Born: t.identity.Born, Ref: ref, Token: t.token})
 }
 
@@ -52,7 +52,7 @@
 		return
 	}
 	if answered {
-		t.verify(r)
+		t.verifyByList(r)
 		return
 	}
 	if !t.silent {
@@ -60,9 +60,9 @@
 	}
 }
 
-// verify leaves it to a list that is asked for from now on what became of the
+// verifyByList leaves it to a list that is asked for from now on what became of the
 // run.
-func (t *Table) verify(r *run) {
+func (t *Table) verifyByList(r *run) {
 	r.state = runVerifying
 	r.verifyAfter = t.renewSeq
 	t.effects.Renew = true
@@ -79,8 +79,8 @@
 			continue
 		}
 		delete(t.runs, ref)
-		if r.lost != nil {
-			t.endLost(now, r)
+		if r.earlierEnd != nil {
+			t.reportEarlierEnd(now, r)
 			continue
 		}
 		t.endRun(now, r, wire.EndNotRun, reasonSealed)
@@ -93,11 +93,11 @@
 // and not when the limit has passed: a task of 200 ms after some 80 ms in place of 750.
 func (t *Table) stopStragglers(now time.Time) {
 	straggles := func(r *run) bool {
-		return r.state == runRunning && r.limit() != 0 && r.expected(now) > r.limit() && r.left(now) > r.anew()
+		return r.state == runRunning && r.limit() != 0 && r.expected(now) > r.limit() && r.remaining(now) > r.restartTime()
 	}
 	for _, ref := range t.refsWhere(straggles) {
 		r := t.runs[ref]
-		t.note(StragglerStopped, ref, r.pace(now))
+		t.note(StragglerStopped, ref, r.paceText(now))
 		r.straggled = true
 		t.sendStop(r)
 	}
