--- a/jobs/runtable/capacity.go
+++ b/jobs/runtable/capacity.go
@@ -8,19 +8,19 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// RequestCapacity takes what waits for room at a coordinator.
-func (t *Table) RequestCapacity(now time.Time, name string, m *wire.RoomAsk) {
-	if t.owners[name] != nil {
-		t.room.Ask(now, name, m)
+// RequestCapacity handles a coordinator's list of the work that waits there for capacity.
+func (t *Table) RequestCapacity(now time.Time, conn string, m *wire.RoomAsk) {
+	if t.owners[conn] != nil {
+		t.room.Ask(now, conn, m)
 	}
 }
 
-// shareCapacity grants what is free to those who ask, and has them told. Once nobody asks any
-// more, all are told of all that is free.
+// shareCapacity grants free capacity to the coordinators that request it, and queues statuses
+// for them. When the last request has ended, all coordinators are sent the free capacity.
 func (t *Table) shareCapacity(now time.Time) {
 	t.room.Resize(t.identity.Capacity)
-	for _, name := range t.room.Share(now, t.grantable(now)) {
-		t.queueStatus(name, t.owners[name])
+	for _, conn := range t.room.Share(now, t.grantable(now)) {
+		t.queueStatus(conn, t.owners[conn])
 	}
 	for _, e := range t.room.Events() {
 		t.noteRoomEvent(e)
@@ -32,7 +32,7 @@
 	t.capacityShared = shared
 }
 
-// grantable returns the room that orders may use now.
+// grantable returns the capacity that orders may use now.
 func (t *Table) grantable(now time.Time) durable.Resources {
 	if !t.canStart() || now.Sub(t.noRoomAt) < noRoomPause {
 		return durable.Resources{}
@@ -40,9 +40,9 @@
 	return t.free()
 }
 
-// announceFreed makes every coordinator get a status of what has come free. While some ask for
-// room, those get one to whom it is granted; the others hear of it in the answer to their next
-// heartbeat.
+// announceFreed queues a status for every coordinator after capacity has come free. While some
+// request capacity, only those that are granted some get one at once; the others get theirs in
+// answer to their next heartbeat.
 func (t *Table) announceFreed() {
 	if !t.room.Asked() {
 		t.queueStatuses()
@@ -51,7 +51,7 @@
 	t.capacityShared = true
 }
 
-// roomDecisions name the events of package room.
+// roomDecisions maps the events of package room to decisions.
 var roomDecisions = [...]Decision{
 	room.Granted:       GrantMade,
 	room.GrantUsed:     GrantUsed,
--- a/jobs/runtable/crash.go
+++ b/jobs/runtable/crash.go
@@ -7,26 +7,26 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// crashedRunTTL is how long the crashed runs of kept jobs are remembered for their owners: the
-// backend server that listed them is gone. Some times what a new owner of a partition takes to
-// ask.
+// crashedRunTTL is how long crashed runs of durable jobs are remembered for their owners, since
+// the incarnation that listed them is gone. It is several times what a new owner of a partition
+// takes to request its report.
 const crashedRunTTL = 30 * time.Second
 
-// crashedRun is a run that was lost with a life of the backend server that has crashed, or
-// may have.
+// crashedRun is a run that was lost with an incarnation of the backend server that has crashed,
+// or may have crashed.
 type crashedRun struct {
 	lease  leaseKey
 	report wire.RunEnd
 	at     time.Time
 }
 
-// leaving returns whether the backend server has said that this life ends. A life of which
-// only the name is known has said nothing.
+// leaving returns whether the backend server has announced the end of the incarnation in force.
+// An incarnation of which only the ID is known has announced nothing.
 func (t *Table) leaving() bool { return t.identity.Service != "" && !t.identity.Ready }
 
-// endCrashed ends all runs: the process that ran them has crashed. One of them may have
-// been the cause, so their owners are told which were at work, and which of them was the
-// only one with crashes before.
+// endCrashed ends all runs, since the process that ran them has crashed. One of them may have
+// caused the crash. The owners are therefore sent which runs had started, and which one was the
+// only run whose task had been in a crash before.
 func (t *Table) endCrashed(now time.Time, reason string) {
 	suspects := t.suspects()
 	for _, ref := range t.sortedRefs() {
@@ -42,8 +42,8 @@
 	}
 }
 
-// crashedEnd describes the end of a run that was lost with a crashed life, where so many
-// runs were suspects.
+// crashedEnd returns the end of a run that was lost in a crash; suspects is the number of
+// suspects among all runs that were lost.
 func (t *Table) crashedEnd(now time.Time, r *run, suspects int, reason string) wire.RunEnd {
 	e := r.unlistedEnd(now, wire.EndCrashed, reason)
 	e.Instance = t.identity.Incarnation().String()
@@ -52,7 +52,7 @@
 	return e
 }
 
-// suspects returns how many of the runs here are suspects.
+// suspects returns how many of the runs are suspects.
 func (t *Table) suspects() int {
 	n := 0
 	for _, r := range t.runs {
@@ -63,11 +63,11 @@
 	return n
 }
 
-// suspect returns whether backend servers have crashed under the run's task, or may have:
-// of a run that an earlier process ordered that is not known.
+// suspect returns whether the run's task has been in a crash of a backend server before. That is
+// not known of a run that an earlier process ordered, which therefore counts too.
 func (r *run) suspect() bool { return r.order.Crashes > 0 || r.needUnknown }
 
-// rememberCrashed keeps the end for an owner that cannot be told now.
+// rememberCrashed keeps the end for owners that cannot be reached now.
 func (t *Table) rememberCrashed(now time.Time, lease leaseKey, e wire.RunEnd) {
 	if lease.member != "" {
 		t.recentEnds[e.Ref] = recentEnd{e, now}
@@ -76,9 +76,9 @@
 	t.crashedRuns[e.Ref] = crashedRun{lease, e, now}
 }
 
-// endSilent ends all runs at a backend server that has been silent until its lease was
-// over. It may have crashed with its box, which then says nothing: the next life at the
-// address tells, so the runs are remembered until then.
+// endSilent ends all runs at a backend server that was silent until its lease was over. It may
+// have crashed together with its box, and then announces nothing. Only the next incarnation at
+// the address shows that, so the runs are remembered until then.
 func (t *Table) endSilent(now time.Time) {
 	suspects := t.suspects()
 	for _, ref := range t.sortedRefs() {
@@ -91,8 +91,8 @@
 	}
 }
 
-// reportSilentCrashes tells the owners of the runs that lapsed in a silence that it was a crash:
-// the life is over, and had not said so.
+// reportSilentCrashes reports to the owners of runs that lapsed during a silence that it was a
+// crash: the incarnation is over and had not announced its end.
 func (t *Table) reportSilentCrashes(now time.Time) {
 	for _, ref := range ordered.KeysFunc(t.silentRuns, compareRefs) {
 		c := t.silentRuns[ref]
@@ -102,7 +102,7 @@
 	clear(t.silentRuns)
 }
 
-// crashedUnder returns the crashed runs under the lease that their owner has not kept.
+// crashedUnder returns the crashed runs under the lease that the owner has not stored.
 func (t *Table) crashedUnder(key leaseKey) []wire.RunEnd {
 	var out []wire.RunEnd
 	for _, ref := range ordered.KeysFunc(t.crashedRuns, compareRefs) {
@@ -113,7 +113,7 @@
 	return out
 }
 
-// dropOldCrashed forgets the crashed runs that no owner has asked about for long.
+// dropOldCrashed drops the crashed runs that are older than crashedRunTTL.
 func (t *Table) dropOldCrashed(now time.Time) {
 	for _, runs := range []map[wire.RunRef]crashedRun{t.crashedRuns, t.silentRuns} {
 		for ref, c := range runs {
--- a/jobs/runtable/ends.go
+++ b/jobs/runtable/ends.go
@@ -6,20 +6,21 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// recentEndTTL is how long the ends of best-effort runs are remembered, for an owner whose
-// connection broke. Longer than a coordinator takes to connect again.
+// recentEndTTL is how long the ends of best-effort runs are remembered for owners that lost
+// their connection. It exceeds the time that a coordinator takes to reconnect.
 const recentEndTTL = 5 * time.Second
 
-// unknownStopInterval is the least time from one stop of unknown runs to the next. What a stop takes.
+// unknownStopInterval is the least time between two stops of unknown runs: about what a stop
+// takes.
 const unknownStopInterval = 50 * time.Millisecond
 
-// end is an end that the backend server remembers until we acknowledge it.
+// end is the end of a run, which the backend server remembers until it is acknowledged.
 type end struct {
 	number   uint64
 	lease    leaseKey
-	coOwners []leaseKey // of other coordinators whose run it was
+	coOwners []leaseKey // leases of the other coordinators that had ordered the run
 	report   wire.RunEnd
-	stored   bool // by its owner, or of no use to anybody
+	stored   bool // stored by its owner, or not needed by anyone
 }
 
 // recentEnd is the end of a best-effort run.
@@ -28,7 +29,7 @@
 	at     time.Time
 }
 
-// applyLists takes the lists of an answered renewal.
+// applyLists applies the lists in the answer to a renewal.
 func (t *Table) applyLists(now time.Time, call RenewCall, a *RenewAnswer) {
 	running := make(map[wire.RunRef]bool, len(a.Running))
 	for _, l := range a.Running {
@@ -54,9 +55,9 @@
 	t.acknowledgeStored()
 }
 
-// stopUnknown stops the best-effort runs that are listed and not in the table: nobody waits for
-// them, and their tasks may run elsewhere. A list that was overtaken may show one that has
-// ended since; that one is left.
+// stopUnknown stops best-effort runs that are listed and not in the table: no coordinator waits
+// for them, and their tasks may run elsewhere. A delayed list may show a run that has ended
+// since; such a run is left alone.
 func (t *Table) stopUnknown(now time.Time, running []ListedRun) {
 	if !t.synced || now.Sub(t.unknownStoppedAt) < unknownStopInterval {
 		return
@@ -71,13 +72,13 @@
 	}
 }
 
-// addEnd takes one listed end.
+// addEnd adds a listed end.
 func (t *Table) addEnd(now time.Time, l *ListedEnd) {
 	if l.Number <= t.lastListedEnd {
 		return
 	}
 	if len(t.ends) == 0 {
-		// What came before the first end that is listed is forgotten there.
+		// The backend server has forgotten all ends before the first one listed.
 		t.ackedEnd = l.Number - 1
 	}
 	t.lastListedEnd = l.Number
@@ -88,7 +89,7 @@
 	}
 	t.completeEnd(now, e, l)
 	if e.lease.member != "" {
-		// Nothing is stored of a best-effort job: the end may be forgotten.
+		// The ends of best-effort jobs are not stored, so this one may be forgotten.
 		e.stored = true
 		t.recentEnds[l.Ref] = recentEnd{e.report, now}
 	}
@@ -98,14 +99,15 @@
 	}
 }
 
-// reportListedEnd tells an owner of the end, if it has been told all that came before.
+// reportListedEnd reports the end to the owner of the lease, provided that the owner has been
+// sent what came before.
 func (t *Table) reportListedEnd(key leaseKey, e *end) {
 	if l := t.leases[key]; l != nil && l.reported {
-		t.sendEnd(l.owner, e.report)
+		t.sendEnd(l.conn, e.report)
 	}
 }
 
-// completeEnd fills in what is known of the run that has ended, and drops it.
+// completeEnd adds what the table knows of the run that has ended, and removes the run.
 func (t *Table) completeEnd(now time.Time, e *end, l *ListedEnd) {
 	e.lease = t.leaseOfListed(l.Ref)
 	e.report = wire.RunEnd{Ref: l.Ref, How: uint8(l.How), Checkpoint: l.Checkpoint}
@@ -124,12 +126,12 @@
 	t.announceFreed()
 }
 
-// endRun tells the owner of an end that the backend server does not list.
+// endRun reports an end that the backend server does not list.
 func (t *Table) endRun(now time.Time, r *run, how wire.End, reason string) {
 	t.reportEnd(r, r.unlistedEnd(now, how, reason))
 }
 
-// unlistedEnd describes an end that the backend server does not list.
+// unlistedEnd returns the report of an end that the backend server does not list.
 func (r *run) unlistedEnd(now time.Time, how wire.End, reason string) wire.RunEnd {
 	if how == wire.EndCrashed && r.started.IsZero() {
 		reason += suffixUnanswered
@@ -137,7 +139,7 @@
 	return wire.RunEnd{Ref: r.order.Ref, How: uint8(how), Reason: reason, RunMS: r.age(now)}
 }
 
-// reportEnd tells the owners of the run of its end.
+// reportEnd reports the end of the run to all its owners.
 func (t *Table) reportEnd(r *run, e wire.RunEnd) {
 	t.reportEndUnder(r.lease, e)
 	for _, key := range r.coOwners {
@@ -145,17 +147,17 @@
 	}
 }
 
-// reportEndUnder tells the owner of the lease of an end.
+// reportEndUnder reports an end to the owner of the lease.
 func (t *Table) reportEndUnder(key leaseKey, e wire.RunEnd) {
 	l := t.leases[key]
 	if l == nil {
 		return
 	}
 	t.note(Decision(runEndPrefix+wire.End(e.How).String()), e.Ref, e.Reason)
-	t.sendEnd(l.owner, e)
+	t.sendEnd(l.conn, e)
 }
 
-// sendEnd adds an end to the message that goes to the owner.
+// sendEnd adds an end to the message for the owner on the connection.
 func (t *Table) sendEnd(to string, e wire.RunEnd) {
 	o := t.owners[to]
 	if o == nil {
@@ -172,35 +174,35 @@
 	t.send(to, &wire.RunEnds{Ends: []wire.RunEnd{e}})
 }
 
-// AcknowledgeEnds tells the table of ends that the backend server may forget, by word of the owner
-// of their jobs.
-func (t *Table) AcknowledgeEnds(_ time.Time, name string, m *wire.EndsKept) {
+// AcknowledgeEnds handles a coordinator's report that it has stored ends. The backend server may
+// forget the ends of runs that this coordinator owns.
+func (t *Table) AcknowledgeEnds(_ time.Time, conn string, m *wire.EndsKept) {
 	kept := make(map[wire.RunRef]bool, len(m.Runs))
 	for _, ref := range m.Runs {
 		kept[ref] = true
 	}
 	for _, e := range t.ends {
-		if kept[e.report.Ref] && t.reportedTo(e.lease, name) {
+		if kept[e.report.Ref] && t.reportedTo(e.lease, conn) {
 			e.stored = true
 		}
 	}
 	for ref, c := range t.crashedRuns {
-		if kept[ref] && t.reportedTo(c.lease, name) {
+		if kept[ref] && t.reportedTo(c.lease, conn) {
 			delete(t.crashedRuns, ref)
 		}
 	}
 	t.acknowledgeStored()
 }
 
-// reportedTo returns whether the coordinator on the connection has the lease, and was told all
-// that is under it.
-func (t *Table) reportedTo(key leaseKey, name string) bool {
+// reportedTo returns whether the coordinator on the connection owns the lease and has been sent
+// what is known under it.
+func (t *Table) reportedTo(key leaseKey, conn string) bool {
 	l := t.leases[key]
-	return l != nil && l.owner == name && l.reported
+	return l != nil && l.conn == conn && l.reported
 }
 
-// acknowledgeStored drops ends that are stored, up to the first that is not: the
-// backend server forgets them by number.
+// acknowledgeStored drops the stored ends up to the first that is not stored, since the backend
+// server forgets ends up to a number.
 func (t *Table) acknowledgeStored() {
 	before := t.ackedEnd
 	for {
--- a/jobs/runtable/identity.go
+++ b/jobs/runtable/identity.go
@@ -9,16 +9,16 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// Incarnation names one life of the backend server, from its start to its end.
+// Incarnation identifies one lifetime of the backend server's process.
 type Incarnation struct {
-	// Instance is the ID that it goes by. A later life may have it again.
+	// Instance is the ID of the backend server. A later incarnation may have the same one.
 	Instance string
-	// Born is when it started, in milliseconds since 1970 by its own word; 0 where backend
-	// servers do not tell, whose IDs never come back.
+	// Born is the start time that the incarnation reports, in milliseconds since 1970. It is 0
+	// for backend servers that report none; their instance IDs are never reused.
 	Born int64
 }
 
-// String returns a name that no other life has.
+// String returns a name that no other incarnation has.
 func (i Incarnation) String() string {
 	if i.Born == 0 {
 		return i.Instance
@@ -26,9 +26,9 @@
 	return i.Instance + "@" + strconv.FormatInt(i.Born, 10)
 }
 
-// Identity describes one life of the backend server.
+// Identity describes an incarnation of the backend server.
 type Identity struct {
-	Instance string // with Born, the life
+	Instance string // identifies the incarnation, together with Born
 	Born     int64
 	Service  string
 	Ready    bool // neither draining nor leaving
@@ -36,25 +36,26 @@
 	Labels   []string
 }
 
-// Equal returns whether the two say the same.
+// Equal returns whether both have the same content.
 func (id *Identity) Equal(o *Identity) bool {
 	return id.Incarnation() == o.Incarnation() && id.Service == o.Service && id.Ready == o.Ready &&
 		id.Capacity == o.Capacity && slices.Equal(id.Labels, o.Labels)
 }
 
-// Incarnation returns which life it is.
+// Incarnation returns the incarnation that is described.
 func (id Identity) Incarnation() Incarnation { return Incarnation{id.Instance, id.Born} }
 
-// message returns what coordinators are sent of it.
+// message returns the identity as coordinators are sent it.
 func (id *Identity) message() *wire.BackendIdentity {
 	return &wire.BackendIdentity{Instance: id.Incarnation().String(), Service: id.Service, Capacity: id.Capacity, Labels: id.Labels}
 }
 
-// Identity returns the life that the table speaks of.
+// Identity returns the identity of the incarnation in force, or of the last one if none is.
 func (t *Table) Identity() Identity { return t.identity }
 
-// Identify tells the table which life the backend server is in, by its own answer to
-// a question. A new life ends everything of the one before, which never comes back.
+// Identify sets the incarnation in force, as the backend server's own answer shows. A new
+// incarnation ends everything of the previous one, which never returns. Without a capacity, the
+// known service, capacity and labels stay.
 func (t *Table) Identify(now time.Time, id Identity) {
 	if id.Incarnation() != t.identity.Incarnation() {
 		t.supersede(t.identity.Incarnation())
@@ -81,7 +82,7 @@
 	t.effects.Renew = true
 }
 
-// endIncarnation ends all runs: the process that ran them is gone.
+// endIncarnation ends all runs, since the process that ran them is gone.
 func (t *Table) endIncarnation(now time.Time, reason string) {
 	t.noteBackendLost(reason)
 	if t.leaving() {
@@ -106,7 +107,7 @@
 	t.queueStatuses()
 }
 
-// noteBackendLost says for the log how the life ended, and how many runs went with it.
+// noteBackendLost logs how the incarnation ended and how many runs were lost with it.
 func (t *Table) noteBackendLost(reason string) {
 	if t.leaving() {
 		reason += suffixAnnounced
@@ -114,7 +115,7 @@
 	t.effects.Notes = append(t.effects.Notes, Note{What: BackendLost, Reason: reason, Runs: len(t.runs)})
 }
 
-// endAll ends all runs that are here, each in the way given.
+// endAll ends all runs in the same way.
 func (t *Table) endAll(now time.Time, how wire.End, reason string) {
 	for _, ref := range t.sortedRefs() {
 		t.endRun(now, t.runs[ref], how, reason)
--- a/jobs/runtable/inherited.go
+++ b/jobs/runtable/inherited.go
@@ -6,23 +6,23 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// replacedBy takes the end of the life in force where another is there. One that goes by
-// the same ID takes orders that were meant for the life before. So a run that was ordered
-// and not yet listed may run there: it is stopped there before its owner hears of its end,
-// else its task could run twice at once.
+// replacedBy ends the incarnation in force because another one has replaced it. One with the
+// same instance ID accepts orders that were meant for the previous one. A run that was ordered
+// and not yet listed may therefore be running there. It is stopped there before its owner is
+// sent its end; otherwise its task could run twice at once.
 func (t *Table) replacedBy(now time.Time, next Incarnation, reason string) {
 	t.endIncarnationExcept(now, reason, func(r *run) bool { return !r.listed && next.Instance == t.identity.Instance })
 }
 
-// giveUpIncarnation takes the life in force to be over, since nothing listens any more. An order that is
-// on its way may still meet the next life, where that goes by the same ID, also if a stop
-// follows it or a copy of it was answered.
+// giveUpIncarnation ends the incarnation in force because connections are refused. An order that
+// is still in transit may reach the next incarnation if that has the same instance ID, even if
+// the order was followed by a stop, or if a duplicate of it was answered.
 func (t *Table) giveUpIncarnation(now time.Time, reason string) {
 	onItsWay := func(r *run) bool { return r.started.IsZero() || r.unanswered && !r.listed }
 	t.endIncarnationExcept(now, reason, func(r *run) bool { return onItsWay(r) && t.identity.Born != 0 })
 }
 
-// endIncarnationExcept ends all runs but those that the next life may have.
+// endIncarnationExcept ends all runs except those that the next incarnation may have.
 func (t *Table) endIncarnationExcept(now time.Time, reason string, mayHave func(r *run) bool) {
 	inherited := t.takeInherited(now, reason, mayHave)
 	t.endIncarnation(now, reason)
@@ -31,8 +31,8 @@
 	}
 }
 
-// takeInherited takes the runs out of the table that the next life may have, each with the
-// end that its owner is told if it does not.
+// takeInherited removes the runs from the table that the next incarnation may have. Each keeps
+// the end that its owner is sent if the next incarnation does not have it.
 func (t *Table) takeInherited(now time.Time, reason string, mayHave func(r *run) bool) map[wire.RunRef]*run {
 	suspects := t.suspects()
 	taken := make(map[wire.RunRef]*run)
@@ -53,8 +53,9 @@
 	return taken
 }
 
-// inheritedAnswered takes the answer to the order of a run after the life that was meant is
-// over: one that was refused, or met nobody, is with no later life, unless it has a copy.
+// inheritedAnswered handles the answer to an order whose incarnation is over. An order that was
+// refused, or could not be sent, has reached no later incarnation, unless an earlier order for
+// the run had no answer.
 func (t *Table) inheritedAnswered(now time.Time, r *run, result StartResult) {
 	if r.unanswered || result == StartAccepted || result == StartUnknown {
 		return
@@ -63,15 +64,16 @@
 	delete(t.runs, r.order.Ref)
 }
 
-// stopInherited stops, in the life in force, the runs that were ordered of the one before.
+// stopInherited stops, in the incarnation in force, the runs that were ordered from the previous
+// one.
 func (t *Table) stopInherited() {
 	for _, ref := range t.refsWhere(func(r *run) bool { return r.state == runInherited }) {
 		t.sendStop(t.runs[ref])
 	}
 }
 
-// endInherited ends the runs that may have been carried out by a life that has not been
-// heard of: the longest lease that it may have granted them is over.
+// endInherited ends inherited runs when the longest lease that an unknown incarnation may have
+// granted them is over.
 func (t *Table) endInherited(now time.Time) {
 	over := func(r *run) bool { return r.state == runInherited && now.After(r.inheritedUntil) }
 	for _, ref := range t.refsWhere(over) {
@@ -80,7 +82,7 @@
 	}
 }
 
-// reportEarlierEnd tells the owner of the run how it was lost with an earlier life.
+// reportEarlierEnd reports to the run's owners how it was lost with an earlier incarnation.
 func (t *Table) reportEarlierEnd(now time.Time, r *run) {
 	if wire.End(r.earlierEnd.How) == wire.EndCrashed {
 		t.rememberCrashed(now, r.lease, *r.earlierEnd)
--- a/jobs/runtable/lapse.go
+++ b/jobs/runtable/lapse.go
@@ -7,12 +7,12 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// lapseMargin is added to the end of the backend server's lease, since timers fire late.
+// lapseMargin is added to the end of the backend server's lease, since its timers fire late.
 const lapseMargin = 50 * time.Millisecond
 
-// expireLeases looks for owners whose lease is over while something of theirs is
-// here. Their runs are stopped one by one; what is not gone within the grace is
-// ended by letting the backend server's lease lapse.
+// expireLeases handles the owners whose lease has expired while runs of theirs, or ends that
+// they have not stored, are here. The runs are stopped one by one. What is left after the grace
+// is ended by letting the backend server's lease lapse.
 func (t *Table) expireLeases(now time.Time) {
 	if t.lapsing || !t.hasIdentity {
 		return
@@ -33,8 +33,8 @@
 	}
 }
 
-// expiredLeases returns the leases that are over while something of theirs is here, in
-// their order. Those of coordinators that are gone and have nothing here are forgotten.
+// expiredLeases returns the keys of expired leases under which there are still runs or unstored
+// ends, in order. It drops expired leases of disconnected coordinators that have nothing here.
 func (t *Table) expiredLeases(now time.Time) []leaseKey {
 	var over []leaseKey
 	for key, l := range t.leases {
@@ -42,7 +42,7 @@
 		switch {
 		case isOver && t.hasWorkUnder(key):
 			over = append(over, key)
-		case isOver && key.member != "" && t.owners[l.owner] == nil:
+		case isOver && key.member != "" && t.owners[l.conn] == nil:
 			delete(t.leases, key)
 		default:
 			l.stoppedAt = time.Time{}
@@ -57,14 +57,14 @@
 	t.note(OwnerLeaseEnded, wire.RunRef{}, key.member)
 	for _, ref := range t.sortedRefs() {
 		r := t.runs[ref]
-		if r != nil && r.ownedUnder(key) {
+		if r != nil && r.heldBy(key) {
 			t.stopRun(now, r)
 		}
 	}
 }
 
-// lapseUnowned ends what an earlier process left here of kept jobs, and no coordinator asks
-// about.
+// lapseUnowned lets the backend server's lease lapse if an earlier process left runs or ends of
+// durable jobs that no coordinator has claimed.
 func (t *Table) lapseUnowned(now time.Time) {
 	for _, r := range t.runs {
 		if t.leases[r.lease] == nil {
@@ -80,10 +80,10 @@
 	}
 }
 
-// hasWorkUnder returns whether anything under the lease is here.
+// hasWorkUnder returns whether there are runs or unstored ends under the lease.
 func (t *Table) hasWorkUnder(key leaseKey) bool {
 	for _, r := range t.runs {
-		if r.ownedUnder(key) {
+		if r.heldBy(key) {
 			return true
 		}
 	}
@@ -95,7 +95,7 @@
 	return false
 }
 
-// lapse stops renewing the backend server's lease, so that it ends all it runs.
+// lapse stops renewing the backend server's lease, so that the backend server ends all runs.
 func (t *Table) lapse(now time.Time, reason string) {
 	t.lapsing = true
 	t.note(LeaseLapsing, wire.RunRef{}, reason)
@@ -103,8 +103,7 @@
 	t.finishLapse(now)
 }
 
-// finishLapse ends all runs here once the backend server has certainly ended
-// them.
+// finishLapse ends all runs once the backend server has certainly ended them.
 func (t *Table) finishLapse(now time.Time) {
 	if !t.lapsing || now.Before(t.leaseEnds.Add(lapseMargin)) {
 		return
@@ -112,7 +111,7 @@
 	t.lapsing = false
 	t.note(LeaseLapsed, wire.RunRef{}, "")
 	if t.silent && t.isRefusing() {
-		t.giveUpIncarnation(now, reasonRefused) // whatever it is, all that it ran is dead
+		t.giveUpIncarnation(now, reasonRefused) // even if it still runs, all its runs are dead
 		return
 	}
 	if t.silent {
@@ -129,9 +128,9 @@
 	t.queueStatuses()
 }
 
-// Resumed tells the table that the box was suspended for so long until now, which the time
-// counts. The backend server's clock may not have counted it: a lease that had not ended
-// before may last as much longer, and its clock may show as much less than we would think.
+// Resumed handles the end of a suspension of the box; now includes its duration. The backend
+// server's clock may have stood still meanwhile: a lease that had not expired before may last
+// that much longer, and the clock may be that far behind what is assumed here.
 func (t *Table) Resumed(now time.Time, suspended time.Duration) {
 	before := now.Add(-suspended)
 	if t.leaseEnds.After(before) {
--- a/jobs/runtable/leases.go
+++ b/jobs/runtable/leases.go
@@ -7,36 +7,36 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// leaseKey names an owner's lease: on the runs of one partition, or on those of
-// the best-effort jobs of one coordinator process.
+// leaseKey identifies an owner's lease: on the runs of one partition, or on the runs of the
+// best-effort jobs of one coordinator process.
 type leaseKey struct {
 	partition uint32
-	member    string // the coordinator's process; empty for a partition
+	member    string // ID of the coordinator process; empty for a partition
 }
 
 func compareLeaseKeys(a, b leaseKey) int {
 	return cmp.Or(cmp.Compare(a.partition, b.partition), cmp.Compare(a.member, b.member))
 }
 
-// unclaimed stands for the coordinator of best-effort runs that none has asked
+// unclaimed is the member of the lease of adopted best-effort runs that no coordinator has asked
 // about yet.
 const unclaimed = "(unclaimed)"
 
 // ownerLease is a coordinator's lease on runs here.
 type ownerLease struct {
 	epoch    uint64 // fencing epoch of the partition's owner
-	owner    string // connection of the owner that was heard of last
+	conn     string // connection on which the owner was last active
 	expires  time.Time
 	reported bool // the owner has been sent all that is known under the lease
-	// confirmed says that the store has told the owner, since this process began, that the
-	// partition is its own.
+	// confirmed says that the owner has reported, on a connection to this process, that the
+	// store confirmed its ownership of the partition.
 	confirmed bool
-	// stoppedAt is when its runs were told to stop, since the lease is over; zero
-	// while it is not.
+	// stoppedAt is when the runs were stopped because the lease had expired; zero while it has
+	// not.
 	stoppedAt time.Time
 }
 
-// leaseOf returns the lease under which an order runs.
+// leaseOf returns the key of the lease under which an order runs.
 func (t *Table) leaseOf(o *owner, order *wire.RunOrder) leaseKey {
 	if order.BestEffort {
 		return leaseKey{member: o.member}
@@ -44,8 +44,8 @@
 	return t.partitionLease(order.Ref)
 }
 
-// leaseOfListed returns the lease of a run that an earlier process started. That
-// of a best-effort run is nobody's until its coordinator asks about it.
+// leaseOfListed returns the key of the lease of a run that an earlier process started. A
+// best-effort run is unclaimed until its coordinator asks about it.
 func (t *Table) leaseOfListed(ref wire.RunRef) leaseKey {
 	if ref.BestEffort() {
 		return leaseKey{member: unclaimed}
@@ -57,23 +57,24 @@
 	return leaseKey{partition: ref.Task.Job.Partition(t.cfg.Partitions)}
 }
 
-// awaitClaim gives the coordinators of unclaimed runs time to ask about them, once.
+// awaitClaim creates the lease of unclaimed runs, unless it exists: it gives their coordinators
+// Settings.AdoptionTimeout to ask about them.
 func (t *Table) awaitClaim(now time.Time, key leaseKey) {
 	if !t.hasWorkUnder(key) {
 		t.leases[key] = &ownerLease{expires: now.Add(t.cfg.AdoptionTimeout), reported: true, confirmed: true}
 	}
 }
 
-// mayOrder returns whether the coordinator may order the run: it has the lease,
-// under the epoch in force, knows what was here before (which only a confirmed owner is
-// told), and the lease lasts.
-func (t *Table) mayOrder(now time.Time, name string, order *wire.RunOrder, key leaseKey) bool {
+// mayOrder returns whether the coordinator may order the run: it must hold the lease under the
+// current epoch, the lease must not have expired, and the coordinator must have been sent what
+// was here before. Only a confirmed owner is sent that.
+func (t *Table) mayOrder(now time.Time, conn string, order *wire.RunOrder, key leaseKey) bool {
 	l := t.leases[key]
-	return l != nil && l.owner == name && l.epoch == order.Epoch && l.reported && now.Before(l.expires)
+	return l != nil && l.conn == conn && l.epoch == order.Epoch && l.reported && now.Before(l.expires)
 }
 
-// extendOwnerLease makes a lease count from the stamp that the owner echoes: a
-// heartbeat that was long on its way renews nothing.
+// extendOwnerLease extends a lease so that it counts from the stamp that the owner echoes. A
+// delayed heartbeat therefore extends nothing.
 func (t *Table) extendOwnerLease(l *ownerLease, echo int64, lease time.Duration) {
 	if echo <= 0 {
 		return
@@ -84,9 +85,9 @@
 	}
 }
 
-// renewPartition renews a coordinator's lease on a partition. It returns false
-// if another has a higher epoch.
-func (t *Table) renewPartition(name string, p wire.PartitionEpoch, m *wire.OwnerHeartbeat) bool {
+// renewPartition renews a coordinator's lease on a partition. It returns false if another
+// coordinator has a higher epoch.
+func (t *Table) renewPartition(conn string, p wire.PartitionEpoch, m *wire.OwnerHeartbeat) bool {
 	key := leaseKey{partition: p.Partition}
 	l := t.leases[key]
 	if l == nil {
@@ -96,9 +97,9 @@
 	if p.Epoch < l.epoch {
 		return false
 	}
-	if p.Epoch > l.epoch || l.owner != name {
+	if p.Epoch > l.epoch || l.conn != conn {
 		l.epoch = p.Epoch
-		l.owner = name
+		l.conn = conn
 		l.reported = false
 		l.confirmed = false
 	}
--- a/jobs/runtable/outcomes.go
+++ b/jobs/runtable/outcomes.go
@@ -8,20 +8,20 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// failureWeight is the weight of one more run in the share that failed.
+// failureWeight is the weight of one more run in the smoothed share of failed runs.
 const failureWeight = 0.2
 
-// outcomes is what the runs of this life were like, of all owners together: each owner
-// alone would learn as many times more slowly as there are owners.
+// outcomes summarises the runs of this incarnation, of all owners together. Each owner alone
+// would learn more slowly, by the number of owners.
 type outcomes struct {
 	speed   *speed.Meter
-	failing float64 // smoothed: share of runs that failed
+	failing float64 // smoothed share of runs that failed
 	logged  loggedSpeed
 }
 
 func newOutcomes() outcomes { return outcomes{speed: speed.New()} }
 
-// ended takes the end of a run.
+// ended records the end of a run.
 func (o *outcomes) ended(now time.Time, r *run, how wire.End) {
 	switch how {
 	case wire.EndDone:
@@ -34,15 +34,15 @@
 	}
 }
 
-// addTime takes how long a run took, or would have.
+// addTime records how long a run took, or would have taken.
 func (o *outcomes) addTime(now time.Time, r *run, took time.Duration) {
 	if r.measured() {
 		o.speed.Ended(now, r.ratio(took))
 	}
 }
 
-// slowness returns how the latest runs compare with what is usual here, with those that
-// go on: by their time until now, or at their present pace.
+// slowness returns how the latest runs compare with the baseline here. Runs that have not ended
+// count by their duration so far, or at their present pace.
 func (t *Table) slowness(now time.Time) float64 {
 	var running []speed.Running
 	for _, ref := range t.refsWhere(func(r *run) bool { return r.state == runRunning && r.measured() }) {
@@ -52,15 +52,16 @@
 	return t.outcomes.speed.Slowness(running)
 }
 
-// measured returns whether the run's time says something of the speed of the life in force.
+// measured returns whether the run's time says something about the speed of the incarnation in
+// force.
 func (r *run) measured() bool {
 	return r.order.EstimateMS > 0 && !r.started.IsZero() && !r.needUnknown && !r.cold && r.earlierEnd == nil
 }
 
-// ratio returns so long a time as a multiple of the run's estimate.
+// ratio returns a duration as a multiple of the run's estimate.
 func (r *run) ratio(took time.Duration) float64 {
 	return took.Seconds() / r.estimate().Seconds()
 }
 
-// percent returns a share or factor as messages carry it.
+// percent returns a share or factor in percent, as messages carry it.
 func percent(x float64) uint32 { return uint32(math.Round(100 * x)) }
--- a/jobs/runtable/owners.go
+++ b/jobs/runtable/owners.go
@@ -10,88 +10,87 @@
 
 // owner is a connected coordinator.
 type owner struct {
-	member       string        // its process
-	connNumber   uint64        // rises with each connection that is made to this process
-	queryPending bool          // about its best-effort runs, to be answered once all is known
-	queries      []wire.RunRef // those that it names
+	member       string        // ID of its process
+	connNumber   uint64        // rises with each connection to this process
+	queryPending bool          // a query about best-effort runs is to be answered once the table is synced
+	queries      []wire.RunRef // the runs that the query names
 	heartbeatSeq uint64        // of the newest heartbeat
 	startSeq     uint64        // of the newest StartRuns
-	fenced       []uint32      // partitions that it claimed and another has
-	dirty        bool          // is to get a status
-	identitySent bool          // has had the identity in force
+	fenced       []uint32      // partitions that it claimed and that another coordinator owns
+	dirty        bool          // a status is due
+	identitySent bool          // has been sent the identity in force
 }
 
-// OwnerUp tells the table of a connection to a coordinator. name is used for no
-// other connection; member names the coordinator's process.
-func (t *Table) OwnerUp(_ time.Time, name, member string) {
+// OwnerUp adds a connection of a coordinator. conn names the connection and must be unique to it;
+// member is the ID of the coordinator's process.
+func (t *Table) OwnerUp(_ time.Time, conn, member string) {
 	t.ownerConns++
 	o := &owner{member: member, connNumber: t.ownerConns}
-	t.owners[name] = o
-	t.queueStatus(name, o)
+	t.owners[conn] = o
+	t.queueStatus(conn, o)
 }
 
-// dropEarlierConns takes nothing more over the earlier connections of a coordinator that is
-// heard over a later one. It had given them up before: what it sent there may still arrive
-// when a cut heals, and it has long written off the runs that it ordered so. A connection
-// over which it has sent anything came up here before it made the next, since it first
-// waits for a status.
+// dropEarlierConns ignores from now on the earlier connections of a coordinator that has sent a
+// heartbeat on a later one. The coordinator has given up the earlier ones and written off the
+// runs that it ordered there, but its old messages may still arrive when a network partition
+// heals. A connection on which it has sent anything was accepted here before it opened the next
+// one, since it first waits for a status.
 func (t *Table) dropEarlierConns(current *owner) {
-	for name, o := range t.owners {
+	for conn, o := range t.owners {
 		if o.member == current.member && o.connNumber < current.connNumber {
-			delete(t.owners, name)
-			t.room.Gone(name)
+			delete(t.owners, conn)
+			t.room.Gone(conn)
 		}
 	}
 }
 
-// memberLease returns the lease of a coordinator on the runs of its best-effort jobs, and
-// makes the connection its owner: the latest over which the coordinator was heard.
-func (t *Table) memberLease(name, member string) *ownerLease {
+// memberLease returns the lease of a coordinator on the runs of its best-effort jobs, and makes
+// the connection, the latest on which the coordinator was active, its owner.
+func (t *Table) memberLease(conn, member string) *ownerLease {
 	key := leaseKey{member: member}
 	l := t.leases[key]
 	if l == nil {
 		l = &ownerLease{reported: true, confirmed: true}
 		t.leases[key] = l
 	}
-	l.owner = name
+	l.conn = conn
 	return l
 }
 
-// OwnerDown tells the table that the connection is lost. The owner's leases
-// run on.
-func (t *Table) OwnerDown(_ time.Time, name string) {
-	delete(t.owners, name)
-	t.room.Gone(name)
+// OwnerDown removes a lost connection. The leases of its owner stay until they expire.
+func (t *Table) OwnerDown(_ time.Time, conn string) {
+	delete(t.owners, conn)
+	t.room.Gone(conn)
 }
 
 // Heartbeat renews a coordinator's leases.
-func (t *Table) Heartbeat(now time.Time, name string, m *wire.OwnerHeartbeat) {
+func (t *Table) Heartbeat(now time.Time, conn string, m *wire.OwnerHeartbeat) {
 	t.expireLeases(now)
-	o := t.owners[name]
+	o := t.owners[conn]
 	if o == nil {
 		return
 	}
 	t.dropEarlierConns(o)
 	t.applyOwnerEvacuations(now, m.Evacuations)
 	o.heartbeatSeq = m.Seq
-	t.queueStatus(name, o)
-	t.extendOwnerLease(t.memberLease(name, o.member), m.Echo, t.cfg.BestEffortLease)
+	t.queueStatus(conn, o)
+	t.extendOwnerLease(t.memberLease(conn, o.member), m.Echo, t.cfg.BestEffortLease)
 	for _, p := range m.Partitions {
-		if !t.renewPartition(name, p, m) {
+		if !t.renewPartition(conn, p, m) {
 			o.fenced = append(o.fenced, p.Partition)
 		}
 	}
 }
 
-// reportPartition sends all that is known of the partition, once for each epoch
-// and connection, as soon as it is known for certain and the owner is confirmed: one that
-// is owner no more would have us forget the ends of its successor's runs.
+// reportPartition sends the owner all that is known of the partition, once per epoch and
+// connection, as soon as the table is synced and the owner is confirmed. An owner that has been
+// superseded would otherwise have the worker forget the ends of its successor's runs.
 func (t *Table) reportPartition(key leaseKey, l *ownerLease) {
-	if l.reported || !l.confirmed || t.lapsing || !t.synced || t.owners[l.owner] == nil {
+	if l.reported || !l.confirmed || t.lapsing || !t.synced || t.owners[l.conn] == nil {
 		return
 	}
 	l.reported = true
-	m := &wire.PartitionRuns{Partition: key.partition, Epoch: l.epoch, StartSeq: t.owners[l.owner].startSeq}
+	m := &wire.PartitionRuns{Partition: key.partition, Epoch: l.epoch, StartSeq: t.owners[l.conn].startSeq}
 	for _, ref := range t.sortedRefs() {
 		if t.runs[ref].lease == key {
 			m.Running = append(m.Running, ref)
@@ -103,22 +102,22 @@
 		}
 	}
 	m.Ended = append(m.Ended, t.crashedUnder(key)...)
-	t.send(l.owner, m)
+	t.send(l.conn, m)
 }
 
-// reportAll sends the reports and answers that had to wait.
+// reportAll sends the reports and answers that were waiting for the table to be synced.
 func (t *Table) reportAll(now time.Time) {
 	for _, key := range ordered.KeysFunc(t.leases, compareLeaseKeys) {
 		t.reportPartition(key, t.leases[key])
 	}
-	for _, name := range ordered.Keys(t.owners) {
-		t.answerQueries(now, name)
+	for _, conn := range ordered.Keys(t.owners) {
+		t.answerQueries(now, conn)
 	}
 }
 
-// SetNeeds takes a coordinator's word of what runs here take.
-func (t *Table) SetNeeds(_ time.Time, name string, m *wire.RunNeeds) {
-	if t.owners[name] == nil {
+// SetNeeds handles a coordinator's report of the needs of adopted runs.
+func (t *Table) SetNeeds(_ time.Time, conn string, m *wire.RunNeeds) {
+	if t.owners[conn] == nil {
 		return
 	}
 	for _, n := range m.Runs {
@@ -132,24 +131,24 @@
 	}
 }
 
-// QueryRuns takes a coordinator's question about best-effort runs that it ordered
-// over an earlier connection.
-func (t *Table) QueryRuns(now time.Time, name string, m *wire.RunsQuery) {
+// QueryRuns handles a coordinator's query about best-effort runs that it ordered on an earlier
+// connection.
+func (t *Table) QueryRuns(now time.Time, conn string, m *wire.RunsQuery) {
 	t.expireLeases(now)
-	o := t.owners[name]
+	o := t.owners[conn]
 	if o == nil {
 		return
 	}
 	o.queryPending = true
 	o.queries = append(o.queries, m.Runs...)
-	t.answerQueries(now, name)
+	t.answerQueries(now, conn)
 }
 
-// answerQueries tells a coordinator what became of the runs that it asks about.
-// Those that are here are its own from now on. What else it had ordered is stopped: it
-// names all that it still wants.
-func (t *Table) answerQueries(now time.Time, name string) {
-	o := t.owners[name]
+// answerQueries reports to a coordinator the state of the runs that it has asked about. It
+// becomes an owner of those that are here. Its other runs are stopped, since the query names all
+// that it still wants.
+func (t *Table) answerQueries(now time.Time, conn string) {
+	o := t.owners[conn]
 	if !o.queryPending || t.lapsing || !t.synced {
 		return
 	}
@@ -165,15 +164,15 @@
 		}
 	}
 	o.queries = nil
-	t.send(name, m)
+	t.send(conn, m)
 }
 
-// stopUnqueried stops the coordinator's best-effort runs about which it does not ask. None is
-// newer than its question: orders are taken over the same connection.
+// stopUnqueried stops the coordinator's best-effort runs that its query does not name. None of
+// them was ordered after the query, since orders arrive on the same connection.
 func (t *Table) stopUnqueried(now time.Time, o *owner) {
 	key := leaseKey{member: o.member}
-	unnamed := func(r *run) bool { return r.ownedUnder(key) && !slices.Contains(o.queries, r.order.Ref) }
-	for _, ref := range t.refsWhere(unnamed) {
+	unqueried := func(r *run) bool { return r.heldBy(key) && !slices.Contains(o.queries, r.order.Ref) }
+	for _, ref := range t.refsWhere(unqueried) {
 		t.stopRun(now, t.runs[ref])
 	}
 }
--- a/jobs/runtable/progress.go
+++ b/jobs/runtable/progress.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// progress is how far a run has come, and how long it will take at its present pace.
+// progress is how far a run has come, and its expected duration at its present pace.
 type progress struct {
-	at       time.Time     // when percent was heard, or the run started
-	percent  int           // then
-	expected time.Duration // from its start to its end; 0 while that is not known
+	at       time.Time     // when percent was listed, or the start of the run
+	percent  int           // as of then
+	expected time.Duration // duration from start to end; 0 if not known
 }
 
-// A pace is worked out over minPaceWindow, and over the paceWindowShare of longer runs: the percent
-// is a whole number, and some of it is chance.
+// The pace is measured over at least minPaceWindow, and over paceWindowShare of the estimate for
+// longer runs, since the percentage is a whole number and partly random.
 const (
-	minPaceWindow   = 60 * time.Millisecond // a short task
+	minPaceWindow   = 60 * time.Millisecond // for short tasks
 	paceWindowShare = 0.25                  // of the estimate
 )
 
-// stalledTime is how long a run is expected to take that does not advance: more than any limit.
+// stalledTime is the expected duration of a run that makes no progress: longer than any limit.
 const stalledTime = 24 * time.Hour
 
-// donePercent is the percent of a run that has ended.
+// donePercent is the progress of a finished run.
 const donePercent = 100
 
-// noteProgress takes what a list says of the runs here. A list that was overtaken says
-// nothing.
+// noteProgress records the progress of the runs in a list. A list that is older than the last
+// one is ignored.
 func (t *Table) noteProgress(now time.Time, seq uint64, running []ListedRun) {
 	if seq <= t.progressSeq {
 		return
@@ -41,31 +41,31 @@
 	}
 }
 
-// updatePace works out the pace of the run once enough time has passed since the last time.
+// updatePace measures the pace of the run if enough time has elapsed since the last measurement.
 func (r *run) updatePace(now time.Time, percent int) {
 	if r.progress.at.IsZero() {
 		r.progress.at = r.started
 	}
-	passed := now.Sub(r.progress.at)
-	if passed < max(minPaceWindow, time.Duration(paceWindowShare*float64(r.estimate()))) {
+	elapsed := now.Sub(r.progress.at)
+	if elapsed < max(minPaceWindow, time.Duration(paceWindowShare*float64(r.estimate()))) {
 		return
 	}
 	left := stalledTime
-	if made := percent - r.progress.percent; made > 0 {
-		left = passed * time.Duration(donePercent-percent) / time.Duration(made)
+	if gained := percent - r.progress.percent; gained > 0 {
+		left = elapsed * time.Duration(donePercent-percent) / time.Duration(gained)
 	}
 	r.progress = progress{at: now, percent: percent, expected: now.Sub(r.started) + left}
 }
 
-// expected returns how long the run takes from its start to its end: at its present pace,
-// or as long as it has been running where that is more, or no pace is known.
+// expected returns the duration of the run from start to end: at its present pace, or its
+// duration so far if that is longer or no pace is known.
 func (r *run) expected(now time.Time) time.Duration {
 	return max(now.Sub(r.started), r.progress.expected)
 }
 
-// remaining returns how long the run goes on, at its present pace. One that is over what was
-// expected is thought to take as long again as it is over; one of which no pace is known, for
-// ever.
+// remaining returns how much longer the run takes at its present pace. A run that has exceeded
+// its expected duration is assumed to need as long again as it has exceeded it; one without a
+// known pace never ends.
 func (r *run) remaining(now time.Time) time.Duration {
 	if r.progress.expected == 0 {
 		return stalledTime
@@ -73,20 +73,20 @@
 	return (r.progress.expected - now.Sub(r.started)).Abs()
 }
 
-// What a start anew takes beyond the estimate.
+// Costs of starting a task again elsewhere, beyond its estimate.
 const (
-	restartSpread   = 1.4                   // times the estimate: runs scatter by so much
+	restartSpread   = 1.4                   // factor on the estimate for the spread of run times
 	restartOverhead = 50 * time.Millisecond // to stop, report, order and start
 )
 
-// restartTime returns how long the task would take if it were started elsewhere.
+// restartTime returns how long the task would take if it were started again elsewhere.
 func (r *run) restartTime() time.Duration {
 	return restartOverhead + time.Duration(restartSpread*float64(r.estimate()))
 }
 
 func (r *run) estimate() time.Duration { return time.Duration(r.order.EstimateMS) * time.Millisecond }
 
-// paceText says for the log how long the run has taken, will take, and may take.
+// paceText returns for the log the run's duration so far, its expected duration and its limit.
 func (r *run) paceText(now time.Time) string {
 	took := now.Sub(r.started).Round(time.Millisecond)
 	expected := r.expected(now).Round(time.Millisecond)
--- a/jobs/runtable/renew.go
+++ b/jobs/runtable/renew.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// NextRenewal returns the call that renews the backend server's lease next; ok
-// is false when none may be made now. Until a list has told what runs there, it renews nothing:
-// an earlier process may have let the lease lapse.
+// NextRenewal returns the next call that renews the backend server's lease; ok is false if none
+// may be made now. Until a list has shown what runs there, the call renews nothing, since an
+// earlier process may have let the lease lapse.
 func (t *Table) NextRenewal(now time.Time) (call RenewCall, ok bool) {
 	t.expireLeases(now)
 	t.finishLapse(now)
@@ -24,15 +24,15 @@
 	return call, true
 }
 
-// recentFailureWindow is how long after a call without an answer the backend server is thought to leave more
-// of them unanswered. Some faults of a backend server last so long.
+// recentFailureWindow is how long after an unanswered call more of them are expected. Some
+// faults of a backend server last that long.
 const recentFailureWindow = 5 * time.Second
 
-// renewWait returns how long the next renewal may wait at the backend server for news.
-// One that has no answer makes the worker deaf until it is given up. So waits are short
-// while something runs and a call had no answer of late, and the renewal after an
-// unanswered one asks at once. Long waits halve the renewals of a worker with twenty ends
-// a second; what they risk is one long deafness, of the first call without an answer.
+// renewWait returns how long the next renewal may wait at the backend server for news. While an
+// unanswered renewal has not timed out, the worker receives no news. Waits are therefore short
+// while something runs and a recent call was unanswered, and the renewal after an unanswered one
+// does not wait at all. Long waits halve the renewals of a worker with twenty ends a second;
+// their cost is one long gap without news, at the first unanswered call.
 func (t *Table) renewWait(now time.Time) time.Duration {
 	switch {
 	case !t.synced || t.unansweredRenewals > 0:
@@ -43,8 +43,8 @@
 	return t.cfg.LongRenewWait
 }
 
-// renewLimit returns how long to wait for the answer to a renewal, beyond its own
-// wait: twice as long after each that had none, since the box may be slow.
+// renewLimit returns the timeout of a renewal beyond its wait. It doubles after each unanswered
+// renewal, since the box may be slow.
 func (t *Table) renewLimit() time.Duration {
 	limit := t.cfg.RenewLimit
 	for i := 0; i < t.unansweredRenewals && limit < t.cfg.CallLimit; i++ {
@@ -53,12 +53,13 @@
 	return min(limit, t.cfg.CallLimit)
 }
 
-// RenewOverdue tells the table that a RenewCall has had no answer within its wait and
-// Settings.RenewPatience. Its answer may still come; the next renewal asks at once.
+// RenewOverdue records that a RenewCall had no answer within its wait and
+// Settings.RenewOverdueAfter. The answer may still arrive; the next renewal does not wait for
+// news.
 func (t *Table) RenewOverdue(call RenewCall) {
 	overdue, onItsWay := t.pendingRenewals[call.Seq]
 	if !onItsWay || overdue {
-		return // it was answered in the same moment
+		return // the answer arrived at the same time
 	}
 	t.pendingRenewals[call.Seq] = true
 	if call.Incarnation() == t.identity.Incarnation() && t.hasIdentity {
@@ -66,8 +67,7 @@
 	}
 }
 
-// RenewAnswered tells the table of the answer to a RenewCall. Answers may come in any
-// order.
+// RenewAnswered handles the answer to a RenewCall. Answers may arrive in any order.
 func (t *Table) RenewAnswered(now time.Time, call RenewCall, a RenewAnswer) {
 	overdue := t.pendingRenewals[call.Seq]
 	delete(t.pendingRenewals, call.Seq)
@@ -97,7 +97,7 @@
 	}
 }
 
-// renewed takes the answer to a renewal that was carried out.
+// renewed handles the answer to a renewal that was carried out.
 func (t *Table) renewed(now time.Time, call RenewCall, a *RenewAnswer) {
 	t.setClock(now, a.Clock)
 	t.checkSilence(now)
@@ -111,10 +111,10 @@
 	t.applyLists(now, call, a)
 }
 
-// newToken takes a fencing token above that of any earlier process here: the
-// backend server's clock, which all of them took theirs from. Where that is not enough, an
-// earlier process has called this life with the token of one before it, whose clock had run
-// longer: twice the last token is tried, so a clock of a day is passed in some 17 tries.
+// newToken sets a fencing token above that of any earlier process of this worker. All of them
+// derive their tokens from the backend server's clock. That is not enough if an earlier process
+// has called this incarnation with the token of a previous one, whose clock had run longer. The
+// token is then doubled on each refusal, so a clock of a day is exceeded after some 17 tries.
 func (t *Table) newToken() {
 	t.token = max(1, uint64(t.clock.Milliseconds()), 2*t.token)
 	t.effects.Renew = true
@@ -126,9 +126,9 @@
 	}
 }
 
-// extendBackendLease returns the end of a lease that begins now, on the backend server's
-// clock, and notes until when it may last by ours. That of a silent one, or one that is to
-// lapse, is not renewed. One that was asked for is never shortened.
+// extendBackendLease returns the end of a lease that starts now, on the backend server's clock,
+// and records until when it may last by our clock. The lease of a silent backend server, or one
+// that is to lapse, is not extended. A requested lease is never shortened.
 func (t *Table) extendBackendLease(now time.Time) time.Duration {
 	if t.silent || t.lapsing {
 		return t.leaseDeadline
@@ -141,14 +141,14 @@
 	return t.leaseDeadline
 }
 
-// withDrift returns how long a lease may last by our clock.
+// withDrift returns the longest time that a lease may last by our clock.
 func (t *Table) withDrift(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease) * (1 + t.cfg.Drift))
 }
 
-// leaseLimit returns until when a lease of the backend server that begins now may last. Where
-// something is here of an owner whose lease is over, that is reckoned from that end, as the
-// owner does, however late it is seen here.
+// leaseLimit returns the latest time until which a new lease of the backend server may last. If
+// an owner whose lease has expired still has something here, the limit counts from that expiry,
+// as it does at the owner, however late the expiry is noticed here.
 func (t *Table) leaseLimit(now time.Time) time.Time {
 	bound := now.Add(t.cfg.BackendLease)
 	for _, r := range t.runs {
@@ -165,9 +165,9 @@
 	return bound
 }
 
-// limitByOwner returns the bound, or until when what is here under the lease may live if that is
-// earlier. When the owner of an unclaimed run last heard of us nobody knows, so that one gets no
-// more than the time to be claimed or stopped.
+// limitByOwner returns the bound, or the time until which runs under the lease may live if that
+// is earlier. It is unknown when the owner of an unclaimed run last received a status from this
+// worker, so an unclaimed run only gets the time to be claimed or stopped.
 func (t *Table) limitByOwner(bound time.Time, key leaseKey) time.Time {
 	l := t.leases[key]
 	if l == nil {
--- a/jobs/runtable/reports.go
+++ b/jobs/runtable/reports.go
@@ -8,32 +8,33 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// Report is what the backend server says of itself without being asked. It may have
-// been long on its way: the life that sent it may be over, and it may come after a
-// later one of the same life.
+// Report is what the backend server reports about itself unasked. It may arrive late: the
+// incarnation that sent it may be over, or a later report of the same incarnation may have
+// arrived before it.
 type Report struct {
 	Identity
-	Number uint64 // rises with each report of a life; 0 where it has none
-	// Cold is how much longer the backend server is slow from its start, or from a time in
-	// which nothing was started there.
+	Number uint64 // rises with each report of an incarnation; 0 if reports are not numbered
+	// Cold is how much longer the backend server will be slow because it has just started, or
+	// has started no task for a while.
 	Cold time.Duration
 }
 
-// maxSuperseded is how many lives that are over are remembered. A report that is later than so
-// many crashes is not expected, and would only be asked about once more.
+// maxSuperseded is how many past incarnations are remembered. A report that is delayed by more
+// crashes than that is not expected; its only cost would be another probe.
 const maxSuperseded = 16
 
-// noMoreReports is the number of a report after which none of the life counts.
+// noMoreReports is a report number above all others: with it, no report of the incarnation
+// counts any more.
 const noMoreReports = math.MaxUint64
 
-// Reported takes a report. One of the life in force counts if none that was sent later
-// has come. One of any other life is believed once the backend server has answered under
-// that name to a question asked after the report came: so a report of a crashed life,
-// which the wire has held up, ends nothing of the living one.
+// Reported handles a report. A report of the incarnation in force counts unless a later one has
+// arrived. A report of any other incarnation counts only once the backend server has answered a
+// probe for that incarnation that was sent after the report arrived. A delayed report of a
+// crashed incarnation therefore ends nothing of the living one.
 func (t *Table) Reported(now time.Time, r Report) {
 	switch {
 	case slices.Contains(t.superseded, r.Incarnation()):
-		t.noteFrequent(ReportLate, wire.RunRef{}, reasonLifeOver)
+		t.noteFrequent(ReportLate, wire.RunRef{}, reasonIncarnationOver)
 	case t.hasIdentity && r.Incarnation() == t.identity.Incarnation():
 		t.currentReported(now, r)
 	default:
@@ -42,7 +43,7 @@
 	}
 }
 
-// currentReported takes a report of the life in force.
+// currentReported handles a report of the incarnation in force.
 func (t *Table) currentReported(now time.Time, r Report) {
 	if r.Number != 0 && r.Number <= t.reportNumber {
 		t.noteFrequent(ReportLate, wire.RunRef{}, reasonOvertaken)
@@ -53,7 +54,7 @@
 	t.Identify(now, r.Identity)
 }
 
-// addCandidate keeps the newest report of a life that is not known to live.
+// addCandidate keeps the newest report of an incarnation that is not in force.
 func (t *Table) addCandidate(r Report) {
 	for i := range t.candidates {
 		if c := &t.candidates[i]; c.Incarnation() == r.Incarnation() {
@@ -66,8 +67,8 @@
 	t.candidates = append(t.candidates, r)
 }
 
-// probeNext asks the backend server whether it is the first of the candidates. One
-// question is on its way at a time, so that answers come in the order of the questions.
+// probeNext probes whether the backend server is the first of the candidates. Only one probe is
+// pending at a time, so that answers arrive in the order of the probes.
 func (t *Table) probeNext() {
 	if t.probing != (Incarnation{}) || len(t.candidates) == 0 {
 		return
@@ -76,8 +77,8 @@
 	t.effects.Probe = &RenewCall{Instance: t.probing.Instance, Born: t.probing.Born, Limit: t.cfg.CallLimit}
 }
 
-// ProbeAnswered takes the answer to the question of Effects.Ask: a RenewCall without a token,
-// which renews nothing. It is answered, or refused for its token, by that life alone.
+// ProbeAnswered handles the answer to Effects.Probe, a RenewCall without a token, which renews
+// nothing. Only the incarnation that it names answers it or refuses it for its token.
 func (t *Table) ProbeAnswered(now time.Time, call RenewCall, result RenewResult) {
 	if call.Incarnation() != t.probing {
 		return
@@ -93,27 +94,27 @@
 	case RenewWrongIncarnation, RenewRestarted:
 		t.removeCandidate(call.Incarnation())
 		t.supersede(call.Incarnation())
-		t.note(ReportLate, wire.RunRef{}, reasonLifeOver)
+		t.note(ReportLate, wire.RunRef{}, reasonIncarnationOver)
 	case RenewConnectionRefused:
-		// Whichever life it was, its next report asks again.
+		// The refusal does not show which incarnation is there; the next report is probed again.
 		t.removeCandidate(call.Incarnation())
 	}
 	t.probeNext()
 }
 
 // removeCandidate removes the candidate and returns it.
-func (t *Table) removeCandidate(life Incarnation) Report {
-	at := slices.IndexFunc(t.candidates, func(c Report) bool { return c.Incarnation() == life })
+func (t *Table) removeCandidate(inc Incarnation) Report {
+	at := slices.IndexFunc(t.candidates, func(c Report) bool { return c.Incarnation() == inc })
 	c := t.candidates[at]
 	t.candidates = slices.Delete(t.candidates, at, at+1)
 	return c
 }
 
-// Deregistered takes the backend server's word that the life ends: it takes no more
-// tasks, and no report of it counts any more.
-func (t *Table) Deregistered(now time.Time, life Incarnation) {
-	if !t.hasIdentity || life != t.identity.Incarnation() {
-		t.noteFrequent(ReportLate, wire.RunRef{}, reasonLifeOver)
+// Deregistered handles the backend server's announcement that the incarnation ends. It takes no
+// more tasks, and no further report of it counts.
+func (t *Table) Deregistered(now time.Time, inc Incarnation) {
+	if !t.hasIdentity || inc != t.identity.Incarnation() {
+		t.noteFrequent(ReportLate, wire.RunRef{}, reasonIncarnationOver)
 		return
 	}
 	t.reportNumber = noMoreReports
@@ -122,12 +123,12 @@
 	t.Identify(now, id)
 }
 
-// supersede notes that the life is over for good.
-func (t *Table) supersede(life Incarnation) {
-	if life == (Incarnation{}) || slices.Contains(t.superseded, life) {
+// supersede records that the incarnation is over for good.
+func (t *Table) supersede(inc Incarnation) {
+	if inc == (Incarnation{}) || slices.Contains(t.superseded, inc) {
 		return
 	}
-	t.superseded = append(t.superseded, life)
+	t.superseded = append(t.superseded, inc)
 	if len(t.superseded) > maxSuperseded {
 		t.superseded = t.superseded[1:]
 	}
--- a/jobs/runtable/run.go
+++ b/jobs/runtable/run.go
@@ -13,48 +13,53 @@
 type runState uint8
 
 const (
-	runStarting  runState = iota // ordered; no answer yet
-	runRunning                   // the backend server has it
+	runStarting  runState = iota // ordered; not yet answered
+	runRunning                   // the backend server has accepted it
 	runStopping                  // a stop is on its way
-	runVerifying                 // stopped; the next list tells whether it ran
-	runInherited                 // ordered of a life that is over; the next one may have it
+	runVerifying                 // stopped; the next list shows whether it ran
+	runInherited                 // ordered from an earlier incarnation; the next one may have received the order
 )
 
-// run is one run of a task here.
+// run is one run of a task at the backend server.
 type run struct {
 	order wire.RunOrder
-	lease leaseKey // of the owner under whose lease it runs
+	lease leaseKey // of the owner that ordered or adopted it
 	// coOwners holds the leases of other coordinators that have ordered the same run of a
-	// best-effort job: each is told of its end, and it ends with the first of the leases.
-	coOwners        []leaseKey
-	state           runState
-	firstSent       time.Time // to the backend server
-	started         time.Time // when the start was answered, or the run adopted
-	verifyAfter     uint64    // a renewal later than this one decides what became of it
-	stopOnceStarted bool      // stop as soon as the start is answered
-	unanswered      bool      // an order had no answer: it may be carried out late
-	progress        progress  // what lists have said of it
-	endedBefore     uint64    // how many runs had ended here when it was started (speed.Meter.Runs)
-	cold            bool      // began while the backend server was cold: that it is slow says nothing
-	straggled       bool      // was stopped since it was over its limit
-	needUnknown     bool      // was ordered by an earlier process, and its owner has not told its need
-	listed          bool      // the life in force has called it running
-	// earlierEnd is how it ended if the life in force never had it: it was ordered of an earlier
-	// life of the same ID. nil otherwise.
+	// best-effort job. Each is sent its end, and the run is stopped when the first of the leases
+	// expires.
+	coOwners    []leaseKey
+	state       runState
+	firstSent   time.Time // when the first order was sent to the backend server
+	started     time.Time // when the start was answered, or the run adopted
+	verifyAfter uint64    // only a renewal with a greater Seq shows what became of it
+	// stopOnceStarted says that the run is to be stopped as soon as its start is answered.
+	stopOnceStarted bool
+	unanswered      bool     // an order had no answer and may still be carried out
+	progress        progress // as of the lists
+	endedBefore     uint64   // speed.Meter.Runs when it was started
+	// cold says that the backend server was cold when the run started, so that its time says
+	// nothing of the server's speed.
+	cold      bool
+	straggled bool // was stopped because it exceeded its limit
+	// needUnknown says that an earlier process ordered the run and its owner has not reported
+	// its need.
+	needUnknown bool
+	listed      bool // the incarnation in force has listed it as running
+	// earlierEnd is how the run ended if the incarnation in force never received its order,
+	// which was meant for an earlier incarnation of the same instance ID; nil otherwise.
 	earlierEnd     *wire.RunEnd
-	inheritedUntil time.Time // when a runInherited has ended for certain
+	inheritedUntil time.Time // when a run in state runInherited is over for certain
 }
 
-// ownedUnder returns whether the run is the owner's whose lease it is.
-func (r *run) ownedUnder(key leaseKey) bool {
-	return r.lease == key || slices.Contains(r.coOwners, key)
-}
+// heldBy returns whether the run is held under the owner's lease.
+func (r *run) heldBy(key leaseKey) bool { return r.lease == key || slices.Contains(r.coOwners, key) }
 
-// addOwner makes the run also that of the owner whose lease it is. If it were taken from the one
-// before, that one would hear no more of it; if it were handed back, its task would run twice.
+// addOwner adds an owner of the lease to the run. The owner before keeps it too: otherwise it
+// would not learn of the run's end. Handing the second order back instead would have the task
+// run twice.
 func (r *run) addOwner(key leaseKey) {
 	switch {
-	case r.ownedUnder(key):
+	case r.heldBy(key):
 	case r.lease.member == unclaimed:
 		r.lease = key
 	default:
@@ -70,8 +75,8 @@
 	return now.Sub(r.started).Milliseconds()
 }
 
-// limit returns how long the run may run; 0 when it has no limit. At a cold backend server
-// there is none: it would be slow for the next run too.
+// limit returns how long the run may take; 0 means without limit. A cold backend server has no
+// limit, since the next run there would be as slow.
 func (r *run) limit() time.Duration {
 	if r.cold {
 		return 0
@@ -79,11 +84,11 @@
 	return time.Duration(r.order.LimitMS) * time.Millisecond
 }
 
-// sortedRefs returns the runs here, in their order.
+// sortedRefs returns all runs in the order of their refs.
 func (t *Table) sortedRefs() []wire.RunRef { return ordered.KeysFunc(t.runs, compareRefs) }
 
-// refsWhere returns the runs here that are wanted, in their order. Most looks at the
-// runs want none: this one sorts only what it returns.
+// refsWhere returns the runs for which wanted is true, in the order of their refs. Most calls
+// find none, so only the result is sorted.
 func (t *Table) refsWhere(wanted func(r *run) bool) []wire.RunRef {
 	var refs []wire.RunRef
 	for ref, r := range t.runs {
@@ -100,12 +105,12 @@
 		cmp.Compare(a.Task.Index, b.Task.Index), cmp.Compare(a.Run, b.Run))
 }
 
-// used returns what the runs here take. A run of unknown need may be as large as the
-// backend server, so while there is one, all of it counts as taken. That lasts until
-// the run's owner has told its need (Needs), or the run has ended: one that no owner
-// asks about is stopped after Settings.FirstLease, and one whose owner falls silent
-// when the owner's lease is over. Any smaller guess would be no bound, and not every
-// backend server guards its capacity itself.
+// used returns the resources that the runs take. A run of unknown need may be as large as the
+// backend server, so all of its capacity counts as used while there is one. That lasts until the
+// owner has reported the need (SetNeeds) or the run has ended: one that no owner claims is
+// stopped after Settings.AdoptionTimeout, and one whose owner sends no heartbeats when the
+// owner's lease expires. A smaller estimate would not be safe, since not every backend server
+// enforces its capacity itself.
 func (t *Table) used() durable.Resources {
 	used := durable.Resources{}
 	unknown := false
@@ -119,11 +124,11 @@
 	return used
 }
 
-// free returns what the runs here leave; it may be negative.
+// free returns the capacity that the runs leave; it may be negative.
 func (t *Table) free() durable.Resources { return t.identity.Capacity.Sub(t.used()) }
 
-// adopt takes over what an earlier process here started. What that one asked for may last for
-// a lease from now.
+// adopt takes over the runs that an earlier process of this worker started. The lease that the
+// earlier process requested may last for up to a full lease from now.
 func (t *Table) adopt(now time.Time, running []ListedRun) {
 	t.leaseEnds = latest(t.leaseEnds, now.Add(t.withDrift(t.cfg.BackendLease)))
 	for _, l := range running {
--- a/jobs/runtable/runtable.go
+++ b/jobs/runtable/runtable.go
@@ -1,16 +1,17 @@
-// Package runtable is the core of a worker: the runs of tasks on one backend
-// server, the lease that keeps them alive there, and the leases of the
+// Package runtable is the core of a worker: it decides about the runs of tasks on one backend
+// server, the lease under which the backend server keeps them running, and the leases of the
 // coordinators that own them.
 //
-// A run whose owner cannot be reached must be dead for certain before another
-// worker may start the task again. So when an owner's lease expires while runs
-// of its, or ends that it has not stored, are here, the table lets the backend
-// server's own lease lapse, which ends everything there; the owner waits that
-// long.
+// A task must not be started again elsewhere while an earlier run of it may still be alive. When
+// a coordinator can no longer be reached and its lease expires here, its runs are stopped one by
+// one. If runs of it, or ends that it has not stored, are left after Settings.StopGrace, the
+// table lets the backend server's own lease lapse, which ends everything there. The owner waits
+// for as long before it starts the tasks elsewhere.
 //
-// It owns the table of runs and ends, and the fencing token of this process. It
-// relies on its caller for the time, for carrying out the Effects, and for the
-// answers of the backend server. It does no I/O and reads no clock.
+// The package owns the table of runs and ends and the fencing token of this process. It relies
+// on its caller for the time, for carrying out the Effects, and for passing on the answers of
+// the backend server and the messages of coordinators. It does no I/O and reads no clock. A
+// Table is not safe for concurrent use.
 package runtable
 
 import (
@@ -23,134 +24,149 @@
 
 // Settings of a Table.
 type Settings struct {
-	DataCentre   string        // of this worker
-	Partitions   uint32        // of the job store
-	OwnerLease   time.Duration // how long a coordinator's heartbeat keeps its kept jobs' runs
-	BackendLease time.Duration // the lease that the backend server is asked for
-	// MaxBackendLease is the longest lease that it grants.
+	DataCentre string // data centre of this worker
+	Partitions uint32 // number of partitions of the job store
+	// OwnerLease is how long after a coordinator's heartbeat the runs of its durable jobs may go
+	// on.
+	OwnerLease time.Duration
+	// BackendLease is the lease that is requested from the backend server.
+	BackendLease time.Duration
+	// MaxBackendLease is the longest lease that the backend server grants.
 	MaxBackendLease time.Duration
-	// ShortRenewWait is how long a renewal may wait at the backend server for news while
-	// something runs and calls go unanswered; CalmRenewWait, at any other time.
+	// ShortRenewWait is how long the backend server may hold back the answer to a renewal until
+	// it has news, while something runs and a recent call had no answer. LongRenewWait applies
+	// at all other times.
 	ShortRenewWait time.Duration
 	LongRenewWait  time.Duration
-	// RenewOverdueAfter is how long the answer to a renewal may take beyond its wait before
-	// the next renewal is made beside it.
+	// RenewOverdueAfter is how long after its wait a renewal counts as overdue. The next renewal
+	// is then sent without waiting for the answer.
 	RenewOverdueAfter time.Duration
-	RenewLimit        time.Duration // how long the answer to a renewal may take beyond its wait
-	CallLimit         time.Duration // the most that RenewLimit grows to
-	SilentAfter       time.Duration // without an answer after which the backend server is called silent
-	Drift             float64       // by how much the backend server's clock may run slow, such as 0.02
-	StartLimit        time.Duration // after which an unanswered start is stopped
-	AdoptionTimeout   time.Duration // how long a fresh process waits for the owners of what it adopted
-	// BestEffortLease is the OwnerLease of best-effort jobs: their runs must be
-	// gone before the callers send the jobs again.
+	// RenewLimit is the timeout of a renewal, counted from the end of its wait.
+	RenewLimit time.Duration
+	// CallLimit bounds RenewLimit, which doubles after each unanswered renewal.
+	CallLimit time.Duration
+	// SilentAfter is how long the backend server may leave calls unanswered before it counts as
+	// silent.
+	SilentAfter time.Duration
+	// Drift is the share by which the backend server's clock may run slow, such as 0.02.
+	Drift float64
+	// StartLimit is how long a start may stay unanswered before the run is stopped.
+	StartLimit time.Duration
+	// AdoptionTimeout is how long a new process waits for the owners of the runs that it
+	// adopted.
+	AdoptionTimeout time.Duration
+	// BestEffortLease is the OwnerLease of best-effort jobs. Their runs must be over before the
+	// callers send the jobs again.
 	BestEffortLease time.Duration
-	StopGrace       time.Duration // from the end of an owner's lease: time to stop its runs one by one
-	Room            room.Settings // how free room is shared among coordinators that ask
+	// StopGrace is the time, from the expiry of an owner's lease, in which its runs are stopped
+	// one by one.
+	StopGrace time.Duration
+	Room      room.Settings // how free capacity is shared among coordinators that request it
 }
 
 // Table is the core of one worker.
 type Table struct {
 	cfg   Settings
-	began time.Time // when the process began; stamps count from it
+	began time.Time // when the process started; stamps count from it
 
 	identity    Identity
-	hasIdentity bool // identity holds a life
-	// reportNumber is that of the newest report of the life.
+	hasIdentity bool // an incarnation is in force, described by identity
+	// reportNumber is the number of the newest report of the incarnation in force.
 	reportNumber uint64
-	coldUntil    time.Time     // the backend server is slow until then, by its own word
-	superseded   []Incarnation // lives that are over, the latest last
-	candidates   []Report      // of lives that may be the present one, in the order in which they came
-	probing      Incarnation   // the candidate that is asked about; empty when none is
+	coldUntil    time.Time     // the backend server has announced that it is slow until then
+	superseded   []Incarnation // incarnations that are over, the latest last
+	candidates   []Report      // reports of incarnations that may be in force, in order of arrival
+	probing      Incarnation   // the incarnation that is being probed; zero if none is
 	token        uint64        // fencing token; 0 until the backend server's clock is known
-	clock        time.Duration // of the backend server, as of clockAt
+	clock        time.Duration // the backend server's clock, as of clockAt
 	clockAt      time.Time
-	synced       bool // the backend server's list of runs has been read under our token
+	synced       bool // the list of runs has been read under our token
 	syncedAt     time.Time
 
 	runs          map[wire.RunRef]*run
-	outcomes      outcomes        // of the runs of this life
-	ends          map[uint64]*end // by their number
+	outcomes      outcomes        // of the runs of this incarnation
+	ends          map[uint64]*end // by End number
 	lastListedEnd uint64          // greatest number of an end that was listed
-	ackedEnd      uint64          // every end up to it is stored by its owner
+	ackedEnd      uint64          // all ends up to this number are stored by their owners
 
 	renewSeq uint64
-	// progressSeq is the renewal that told of progress last, and tellsProgress whether any
-	// of this life has.
+	// progressSeq is the Seq of the newest renewal whose list was evaluated for progress.
+	// reportsProgress says that this incarnation has reported any.
 	progressSeq        uint64
 	reportsProgress    bool
-	unansweredRenewals int             // renewals in a row that had no answer
-	pendingRenewals    map[uint64]bool // those on their way, by Seq; whether they are overdue
-	// unansweredAt is when a call of any kind last had no answer.
+	unansweredRenewals int             // in a row
+	pendingRenewals    map[uint64]bool // by Seq, those without an answer; true if overdue
+	// unansweredAt is when a call of any kind was last unanswered.
 	unansweredAt  time.Time
 	leaseEnds     time.Time     // when the backend server's lease is over for certain
-	leaseDeadline time.Duration // the end of the lease that was asked for last, on its clock
+	leaseDeadline time.Duration // on the backend server's clock, the latest lease end that was requested
 	lapsing       bool          // nothing is renewed until the lease is over
 	silent        bool          // the backend server does not answer
 	refusedAt     time.Time     // when it last refused a connection
-	noRoomAt      time.Time     // when the backend server last had less room than we thought
+	noRoomAt      time.Time     // when the backend server last had less capacity than the table assumed
 
-	evacuations       routing.Evacuations // the newest word of them
-	evacuated         bool                // this data centre is among them
-	evacReadAt time.Time           // when the store told the coordinator that knows latest
+	evacuations routing.Evacuations // the newest version received
+	evacuated   bool                // this data centre is among them
+	evacReadAt  time.Time           // when any coordinator last read them from the store
 
 	leases map[leaseKey]*ownerLease
-	owners map[string]*owner // by connection; those that were retired are not among them
-	// ownerConns counts the connections of owners so far.
+	owners map[string]*owner // by connection, without those that a later connection has replaced
+	// ownerConns counts the connections of coordinators so far.
 	ownerConns uint64
-	dirty      []string // owners that are to get a status
+	dirty      []string // connections with a status due
 	room       *room.Table
-	// capacityShared says that somebody asks for room, so that not all are told of what is free.
+	// capacityShared says that coordinators request capacity, so that not everyone is sent a
+	// status when some comes free.
 	capacityShared bool
 	recentEnds     map[wire.RunRef]recentEnd
-	// unknownStoppedAt is when runs that the table does not know were stopped last.
+	// unknownStoppedAt is when runs that the table does not know were last stopped.
 	unknownStoppedAt time.Time
-	// crashedRuns holds the runs of kept jobs that were lost with crashedRuns lives, until their
-	// owners have kept that.
+	// crashedRuns holds the runs of durable jobs that were lost in crashes of the backend
+	// server, until their owners have stored that.
 	crashedRuns map[wire.RunRef]crashedRun
-	// silentRuns holds the runs whose lease lapsed while the backend server was silent, until
-	// it answers again or its next life shows that it had crashed.
+	// silentRuns holds the runs whose lease lapsed while the backend server was silent, until it
+	// answers again or its next incarnation shows that it had crashed.
 	silentRuns map[wire.RunRef]crashedRun
 
 	effects Effects
 }
 
-// ToOwner is a message to a connected coordinator, by its connection's name.
+// ToOwner is a message to a connected coordinator, named by its connection.
 type ToOwner struct {
 	Owner   string
 	Message wire.Message
 }
 
-// Effects is what has to be done.
+// Effects is what the caller has to carry out.
 type Effects struct {
 	Sends  []ToOwner
 	Starts []StartCall
 	Stops  []StopCall
 	Notes  []Note
 	Renew  bool       // ask for NextRenewal soon
-	Probe  *RenewCall // to be made and answered by Asked; nil when there is none
+	Probe  *RenewCall // to be made, its answer to be passed to ProbeAnswered; nil if there is none
 }
 
-// New returns an empty table; now is when the process began.
+// New returns an empty table; now is the start of the process.
 func New(cfg Settings, now time.Time) *Table {
 	return &Table{
-		cfg:               cfg,
-		began:             now,
-		evacReadAt: now,
-		runs:              make(map[wire.RunRef]*run),
-		ends:              make(map[uint64]*end),
-		leases:            make(map[leaseKey]*ownerLease),
-		owners:            make(map[string]*owner),
-		recentEnds:        make(map[wire.RunRef]recentEnd),
-		crashedRuns:       make(map[wire.RunRef]crashedRun),
-		silentRuns:        make(map[wire.RunRef]crashedRun),
-		pendingRenewals:   make(map[uint64]bool),
-		outcomes:          newOutcomes(),
-		room:              room.New(cfg.Room),
+		cfg:             cfg,
+		began:           now,
+		evacReadAt:      now,
+		runs:            make(map[wire.RunRef]*run),
+		ends:            make(map[uint64]*end),
+		leases:          make(map[leaseKey]*ownerLease),
+		owners:          make(map[string]*owner),
+		recentEnds:      make(map[wire.RunRef]recentEnd),
+		crashedRuns:     make(map[wire.RunRef]crashedRun),
+		silentRuns:      make(map[wire.RunRef]crashedRun),
+		pendingRenewals: make(map[uint64]bool),
+		outcomes:        newOutcomes(),
+		room:            room.New(cfg.Room),
 	}
 }
 
-// Take returns what has to be done since the last call.
+// Take returns the effects that have accumulated since the last call.
 func (t *Table) Take(now time.Time) Effects {
 	t.shareCapacity(now)
 	t.sendStatuses(now)
--- a/jobs/runtable/silence.go
+++ b/jobs/runtable/silence.go
@@ -6,9 +6,8 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// checkSilence notes whether the backend server answers. While it does not, it
-// gets no new runs, and its lease is not renewed any further, so that what it runs is
-// known to be dead as soon as can be.
+// checkSilence updates whether the backend server is silent. A silent one gets no new runs, and
+// its lease is not extended, so that its runs are known to be over as soon as possible.
 func (t *Table) checkSilence(now time.Time) {
 	unheard := now.Sub(t.clockAt) > t.cfg.SilentAfter || t.isRefusing()
 	silent := t.hasIdentity && unheard && (t.synced || t.mayBeRunning())
@@ -18,7 +17,7 @@
 	t.silent = silent
 	t.queueStatuses()
 	if !silent {
-		clear(t.silentRuns) // it lives
+		clear(t.silentRuns) // it has not crashed
 		t.note(BackendAnswers, wire.RunRef{}, "")
 		t.resendCalls(now)
 		return
@@ -30,9 +29,10 @@
 	t.note(BackendSilent, wire.RunRef{}, reason)
 }
 
-// connectionRefused takes that no connection could be made to the backend server. It may refuse for a
-// while and run on, so what is there ends with its lease, or when another life answers. Where
-// nothing is there, or the life has said that it ends, it is given up until it is heard of again.
+// connectionRefused handles a refused connection to the backend server. A server may refuse
+// connections for a while and still run tasks, so its runs end only with its lease or when
+// another incarnation answers. If it runs nothing, or has announced its end, the incarnation is
+// given up until the backend server reports again.
 func (t *Table) connectionRefused(now time.Time) {
 	t.refusedAt = now
 	if len(t.runs) == 0 || t.reportNumber == noMoreReports {
@@ -45,7 +45,7 @@
 // isRefusing returns whether a connection was refused since the last answer.
 func (t *Table) isRefusing() bool { return !t.refusedAt.IsZero() && !t.refusedAt.Before(t.clockAt) }
 
-// mayBeRunning returns whether the life in force may run something.
+// mayBeRunning returns whether the incarnation in force may be running something.
 func (t *Table) mayBeRunning() bool {
 	for _, r := range t.runs {
 		if r.state != runInherited {
@@ -55,8 +55,8 @@
 	return false
 }
 
-// resendCalls makes the calls again that had no answer in the silence. The first copy of an
-// order may be on its way yet, so the refusal of one says nothing of the other.
+// resendCalls resends the calls that had no answer during the silence. The first order of a run
+// may still be in transit, so that the refusal of one order says nothing about the other.
 func (t *Table) resendCalls(now time.Time) {
 	for _, ref := range t.sortedRefs() {
 		switch r := t.runs[ref]; r.state {
@@ -69,8 +69,8 @@
 	}
 }
 
-// lapseSilent lets the lease of a silent backend server lapse once the last
-// renewal is over for certain.
+// lapseSilent lets the lease of a silent backend server lapse once the lease of the last renewal
+// is over for certain.
 func (t *Table) lapseSilent(now time.Time) {
 	if t.silent && !t.lapsing && len(t.runs) > 0 && now.After(t.leaseEnds) {
 		t.lapse(now, reasonSilent)
--- a/jobs/runtable/starts.go
+++ b/jobs/runtable/starts.go
@@ -6,41 +6,41 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// noRoomPause is how long orders are handed back after the backend server had less
-// room than we thought.
+// noRoomPause is how long orders are handed back after the backend server had less capacity than
+// the table assumed.
 const noRoomPause = 20 * time.Millisecond
 
-// Start takes the orders of a coordinator.
-func (t *Table) Start(now time.Time, name string, m *wire.StartRuns) {
+// Start handles the orders of a coordinator to start runs.
+func (t *Table) Start(now time.Time, conn string, m *wire.StartRuns) {
 	t.expireLeases(now)
-	o := t.owners[name]
+	o := t.owners[conn]
 	if o == nil {
 		return
 	}
 	o.startSeq = m.Seq
-	t.queueStatus(name, o)
-	t.shareCapacity(now) // what has come free in the same moment is not for who orders first
-	t.room.Ordered(now, name, m.Seen)
+	t.queueStatus(conn, o)
+	t.shareCapacity(now) // capacity that has just come free is not taken by whichever order arrives first
+	t.room.Ordered(now, conn, m.Seen)
 	taken := false
 	for i := range m.Runs {
-		taken = t.takeOrder(now, name, &m.Runs[i]) || taken
+		taken = t.takeOrder(now, conn, &m.Runs[i]) || taken
 	}
 	if taken {
-		t.room.Took(name, t.free())
+		t.room.Took(conn, t.free())
 	}
 }
 
-// takeOrder takes one takeOrder, or hands it back at once: the coordinator may have room
+// takeOrder takes one order or hands it back at once, since the coordinator may have capacity
 // for it elsewhere. It returns whether a run begins.
-func (t *Table) takeOrder(now time.Time, name string, order *wire.RunOrder) bool {
-	key := t.leaseOf(t.owners[name], order)
+func (t *Table) takeOrder(now time.Time, conn string, order *wire.RunOrder) bool {
+	key := t.leaseOf(t.owners[conn], order)
 	if r := t.runs[order.Ref]; r != nil {
 		r.addOwner(key)
 		return false
 	}
-	if reason := t.refusal(now, name, order, key); reason != "" {
+	if reason := t.refusal(now, conn, order, key); reason != "" {
 		t.noteFrequent(RunRefused, order.Ref, reason)
-		t.sendEnd(name, wire.RunEnd{Ref: order.Ref, How: uint8(wire.EndNotRun), Reason: reason})
+		t.sendEnd(conn, wire.RunEnd{Ref: order.Ref, How: uint8(wire.EndNotRun), Reason: reason})
 		return false
 	}
 	r := &run{order: *order, lease: key, firstSent: now}
@@ -49,13 +49,13 @@
 	return true
 }
 
-// refusal returns why an order is handed back, or nothing if it is taken: it has to
-// fit now. Tasks under which servers have crashed run here one at a time, so that the next
-// crash tells which of them is at fault: with two together none is accused, and each ends
-// one server more, after all coordinators have lost their memory for it one too many.
-func (t *Table) refusal(now time.Time, name string, order *wire.RunOrder, key leaseKey) string {
+// refusal returns the reason for handing an order back, or "" if it is taken. An order must fit
+// now. Tasks under which backend servers have crashed run one at a time here, so that the next
+// crash shows which of them caused it. With two together neither would be blamed, and each would
+// crash one more server: one too many once all coordinators have lost their crash counts.
+func (t *Table) refusal(now time.Time, conn string, order *wire.RunOrder, key leaseKey) string {
 	switch {
-	case !t.mayOrder(now, name, order, key):
+	case !t.mayOrder(now, conn, order, key):
 		return "no_lease"
 	case t.evacuated:
 		return "evacuated"
@@ -65,7 +65,7 @@
 		return "suspect_there"
 	case !order.Need.Fits(t.free()), now.Sub(t.noRoomAt) < noRoomPause:
 		return reasonBusy
-	case !order.Need.Fits(t.room.Free(name, t.free())):
+	case !order.Need.Fits(t.room.Free(conn, t.free())):
 		return reasonGranted
 	}
 	return ""
@@ -87,7 +87,7 @@
 	})
 }
 
-// StartAnswered tells the table of the answer to a StartCall.
+// StartAnswered handles the answer to a StartCall.
 func (t *Table) StartAnswered(now time.Time, call StartCall, result StartResult) {
 	if result == StartUnknown {
 		t.unansweredAt = now
@@ -122,9 +122,9 @@
 	}
 }
 
-// endUnsent ends a run to whose order no connection could be made, unless an earlier copy
-// of it may have arrived: the backend server was gone before it, so it did not crash under
-// the run.
+// endUnsent ends a run whose order could not be sent because the connection was refused. The
+// backend server was gone before the order, so the run did not crash it. If an earlier order for
+// the run had no answer, it may have arrived, and the run stays.
 func (t *Table) endUnsent(now time.Time, r *run) {
 	if !r.unanswered {
 		delete(t.runs, r.order.Ref)
@@ -132,9 +132,9 @@
 	}
 }
 
-// resendStart repeats an order without an answer: the run number makes both one. In an
-// evacuated data centre, and where it is no longer wanted, the run is stopped instead.
-// A silent backend server gets it when it answers again.
+// resendStart resends an order that had no answer; the run number makes it idempotent. In an
+// evacuated data centre, or if the run is no longer wanted, the run is stopped instead. A silent
+// backend server gets the order when it answers again.
 func (t *Table) resendStart(now time.Time, r *run) {
 	if t.silent {
 		return
@@ -147,8 +147,8 @@
 	t.sendStart(now, r)
 }
 
-// startRefused takes the refusal of an order. If an earlier copy of it had no
-// answer, that one may still be carried out, so the run is stopped first.
+// startRefused handles the refusal of an order. If an earlier order for the run had no answer,
+// it may still be carried out, so the run is stopped first.
 func (t *Table) startRefused(now time.Time, r *run, result StartResult) {
 	if result == StartNoRoom {
 		t.noRoomAt = now
@@ -166,12 +166,12 @@
 	t.effects.Renew = true
 }
 
-// stopUnansweredStarts stops runs whose start has had no answer for too long. A
-// stop for a run that is not there makes its number unusable, so that the start
-// cannot be carried out later either.
+// stopUnansweredStarts stops runs whose start has been unanswered for longer than
+// Settings.StartLimit. A stop invalidates the number of a run that does not exist, so that the
+// start cannot be carried out later either.
 func (t *Table) stopUnansweredStarts(now time.Time) {
 	if t.silent {
-		return // the end of its lease will end them
+		return // the runs end with the lease
 	}
 	unanswered := func(r *run) bool {
 		return r.state == runStarting && now.Sub(r.firstSent) > t.cfg.StartLimit
--- a/jobs/runtable/status.go
+++ b/jobs/runtable/status.go
@@ -7,48 +7,48 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// stamp returns the present time by this process's steady clock, in
-// microseconds since it began; never 0. Coordinators echo it in heartbeats.
+// stamp returns the time since this process started, in microseconds on its monotonic clock;
+// never 0. Coordinators echo it in heartbeats.
 func (t *Table) stamp(now time.Time) int64 {
 	return max(1, now.Sub(t.began).Microseconds())
 }
 
-// queueStatus makes the coordinator get a status with the next Effects.
-func (t *Table) queueStatus(name string, o *owner) {
+// queueStatus has a status sent to the coordinator with the next Effects.
+func (t *Table) queueStatus(conn string, o *owner) {
 	if !o.dirty {
 		o.dirty = true
-		t.dirty = append(t.dirty, name)
+		t.dirty = append(t.dirty, conn)
 	}
 }
 
-// queueStatuses makes every coordinator get a status with the next Effects.
+// queueStatuses has a status sent to every coordinator with the next Effects.
 func (t *Table) queueStatuses() {
-	for name, o := range t.owners {
-		t.queueStatus(name, o)
+	for conn, o := range t.owners {
+		t.queueStatus(conn, o)
 	}
 }
 
-// sendStatuses sends a status to the owners who want one.
+// sendStatuses sends the statuses that are due.
 func (t *Table) sendStatuses(now time.Time) {
 	if len(t.dirty) == 0 {
 		return
 	}
 	slices.Sort(t.dirty)
 	slowness := percent(t.slowness(now))
-	for _, name := range t.dirty {
-		o := t.owners[name]
+	for _, conn := range t.dirty {
+		o := t.owners[conn]
 		if o == nil || !o.dirty {
-			continue // its connection is lost, or it is another one
+			continue // the connection was lost, or its name is in use again
 		}
 		o.dirty = false
-		s := t.status(now, name, o, slowness)
-		t.room.Told(now, name, s.Stamp)
-		t.send(name, s)
+		s := t.status(now, conn, o, slowness)
+		t.room.Told(now, conn, s.Stamp)
+		t.send(conn, s)
 	}
 	t.dirty = t.dirty[:0]
 }
 
-func (t *Table) status(now time.Time, name string, o *owner, slowness uint32) *wire.WorkerStatus {
+func (t *Table) status(now time.Time, conn string, o *owner, slowness uint32) *wire.WorkerStatus {
 	s := &wire.WorkerStatus{
 		TimeFactor:   percent(t.outcomes.speed.Factor()),
 		Slowness:     slowness,
@@ -57,8 +57,8 @@
 		HeartbeatSeq: o.heartbeatSeq,
 		StartSeq:     o.startSeq,
 		Ready:        t.canStart(),
-		Free:         t.room.Free(name, t.free()),
-		Waiting:      t.room.Waiting(now, name),
+		Free:         t.room.Free(conn, t.free()),
+		Waiting:      t.room.Waiting(now, conn),
 		Fenced:       o.fenced,
 	}
 	o.fenced = nil
--- a/jobs/runtable/stops.go
+++ b/jobs/runtable/stops.go
@@ -7,19 +7,19 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// Stop takes the orders of a coordinator to stop runs.
-func (t *Table) Stop(now time.Time, name string, m *wire.StopRuns) {
+// Stop handles the orders of a coordinator to stop runs.
+func (t *Table) Stop(now time.Time, conn string, m *wire.StopRuns) {
 	t.expireLeases(now)
 	for _, ref := range m.Runs {
-		if r := t.runs[ref]; r != nil && t.ownedBy(r, name) {
+		if r := t.runs[ref]; r != nil && t.ownedBy(r, conn) {
 			t.stopRun(now, r)
 		}
 	}
 }
 
-// ownedBy returns whether the run is that of the coordinator on the connection.
-func (t *Table) ownedBy(r *run, name string) bool {
-	owned := func(key leaseKey) bool { return t.leases[key] != nil && t.leases[key].owner == name }
+// ownedBy returns whether the coordinator on the connection owns the run.
+func (t *Table) ownedBy(r *run, conn string) bool {
+	owned := func(key leaseKey) bool { return t.leases[key] != nil && t.leases[key].conn == conn }
 	return owned(r.lease) || slices.ContainsFunc(r.coOwners, owned)
 }
 
@@ -37,12 +37,12 @@
 	t.addStopCall(r.order.Ref)
 }
 
-// addStopCall has the backend server stop a run in the life in force.
+// addStopCall adds a call that stops a run in the incarnation in force.
 func (t *Table) addStopCall(ref wire.RunRef) {
 	t.effects.Stops = append(t.effects.Stops, StopCall{Instance: t.identity.Instance, Born: t.identity.Born, Ref: ref, Token: t.token})
 }
 
-// StopAnswered tells the table whether a StopCall was answered.
+// StopAnswered handles the outcome of a StopCall.
 func (t *Table) StopAnswered(now time.Time, call StopCall, answered bool) {
 	if !answered {
 		t.unansweredAt = now
@@ -60,16 +60,15 @@
 	}
 }
 
-// verifyByList leaves it to a list that is asked for from now on what became of the
-// run.
+// verifyByList leaves the fate of a stopped run to the first list that is requested from now on.
 func (t *Table) verifyByList(r *run) {
 	r.state = runVerifying
 	r.verifyAfter = t.renewSeq
 	t.effects.Renew = true
 }
 
-// resolveVerified decides what became of stopped runs: a list that was asked for
-// after the stop and shows neither the run nor its end proves that it never ran.
+// resolveVerified decides the fate of stopped runs. A list that was requested after the stop and
+// shows neither the run nor its end proves that the run never started.
 func (t *Table) resolveVerified(now time.Time, seq uint64, running map[wire.RunRef]bool) {
 	verified := func(r *run) bool { return r.state == runVerifying && seq > r.verifyAfter }
 	for _, ref := range t.refsWhere(verified) {
@@ -87,10 +86,10 @@
 	}
 }
 
-// stopStragglers stops runs that are over their limit, or will be at their present pace,
-// and would end clearly sooner elsewhere. The limit comes with the order and counts from the
-// start. A backend server that turns slow or stands still is left so after one or two paces
-// and not when the limit has passed: a task of 200 ms after some 80 ms in place of 750.
+// stopStragglers stops runs that exceed their limit, or will at their present pace, and would
+// end clearly sooner elsewhere. The limit is part of the order and counts from the start. By the
+// pace, a backend server that slows down or stalls is detected after one or two measurements
+// instead of at the limit: with a task of 200 ms, after some 80 ms instead of 750.
 func (t *Table) stopStragglers(now time.Time) {
 	straggles := func(r *run) bool {
 		return r.state == runRunning && r.limit() != 0 && r.expected(now) > r.limit() && r.remaining(now) > r.restartTime()
