--- a/jobs/runtable/bench_test.go
+++ b/jobs/runtable/bench_test.go
@@ -42,7 +42,7 @@
 		}})
 		t.Take(now)
 		if n%1000 == 0 {
-			now = now.Add(10 * time.Second) // what is remembered of ends goes
+			now = now.Add(10 * time.Second) // drops the remembered ends
 			t.Tick(now)
 			t.Heartbeat(now, owner, &wire.OwnerHeartbeat{Seq: n, Echo: now.Sub(time.Unix(1000, 0)).Microseconds()})
 		}
--- a/jobs/runtable/capacity_test.go
+++ b/jobs/runtable/capacity_test.go
@@ -12,305 +12,306 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// neighbours are a worker's three coordinators of best-effort jobs; the server has room for
-// two of their runs, and the worker knows all that is free.
-type neighbours struct {
+// sharedWorker is a worker with three coordinators of best-effort jobs, a, b and c. The backend
+// server has capacity for two of their runs.
+type sharedWorker struct {
 	*fixture
-	runs uint32
-	said map[string]*wire.WorkerStatus // to each, the latest
-	told []string                      // whom the last Effects have a status for
-	ends []wire.RunEnd                 // in the last Effects
-	held []wire.RunRef                 // what runs, in its order
+	runs       uint32
+	lastStatus map[string]*wire.WorkerStatus // the latest to each coordinator
+	statusTo   []string                      // the recipients of statuses in the last Effects
+	ends       []wire.RunEnd                 // in the last Effects
+	running    []wire.RunRef                 // in the order of their starts
 }
 
-func newNeighbours() *neighbours {
-	n := &neighbours{fixture: newFixture(), said: make(map[string]*wire.WorkerStatus)}
+func newSharedWorker() *sharedWorker {
+	n := &sharedWorker{fixture: newFixture(), lastStatus: make(map[string]*wire.WorkerStatus)}
 	n.table.Identify(n.now, identity)
-	n.hold(nil)
-	n.hold(nil)
+	n.renewLease(nil)
+	n.renewLease(nil)
 	for _, name := range []string{"a", "b", "c"} {
 		n.table.OwnerUp(n.now, name, "member-"+name)
 	}
 	n.perform()
-	n.renew()
+	n.heartbeats()
 	return n
 }
 
-// renew has all coordinators renew their leases.
-func (n *neighbours) renew() {
+// heartbeats has all coordinators renew their leases.
+func (n *sharedWorker) heartbeats() {
 	for _, name := range []string{"a", "b", "c"} {
-		n.beat(name)
+		n.sendHeartbeat(name)
 	}
 	n.perform()
 }
 
-func (n *neighbours) beat(name string) {
+func (n *sharedWorker) sendHeartbeat(name string) {
 	n.seq++
-	n.table.Heartbeat(n.now, name, &wire.OwnerHeartbeat{Seq: n.seq, Echo: n.said[name].Stamp})
+	n.table.Heartbeat(n.now, name, &wire.OwnerHeartbeat{Seq: n.seq, Echo: n.lastStatus[name].Stamp})
 }
 
-// perform takes the Effects a millisecond later, and has the backend server take the starts.
-func (n *neighbours) perform() {
+// perform takes the Effects a millisecond later, and has the backend server accept the starts.
+func (n *sharedWorker) perform() {
 	n.pass(time.Millisecond)
 	e := n.take()
-	n.told = nil
+	n.statusTo = nil
 	for _, s := range e.Sends {
 		if m, ok := s.Message.(*wire.WorkerStatus); ok {
-			n.said[s.Owner] = m
-			n.told = append(n.told, s.Owner)
+			n.lastStatus[s.Owner] = m
+			n.statusTo = append(n.statusTo, s.Owner)
 		}
 	}
 	n.ends = ends(e)
 	for _, c := range e.Starts {
 		n.table.StartAnswered(n.now, c, runtable.StartAccepted)
-		n.held = append(n.held, c.Ref)
+		n.running = append(n.running, c.Ref)
 	}
 }
 
-// asks has the coordinator ask for so many runs of 1,500 thousandths of a core.
-func (n *neighbours) asks(name string, tasks uint32, turn int64) {
+// request has the coordinator request capacity for runs of 1,500 thousandths of a core.
+func (n *sharedWorker) request(name string, tasks uint32, turn int64) {
 	n.seq++
-	m := &wire.RoomAsk{Seq: n.seq, Seen: n.said[name].Stamp}
+	m := &wire.RoomAsk{Seq: n.seq, Seen: n.lastStatus[name].Stamp}
 	if tasks > 0 {
 		m.Waits = []wire.RoomWait{{WaitingWork: wire.WaitingWork{FirstMS: turn, LastMS: turn, Work: 90}, Need: durable.Resources{CPU: 1500}, Tasks: tasks}}
 	}
 	n.table.RequestCapacity(n.now, name, m)
 }
 
-// orders has the coordinator order a run, having handled all that it was told.
-func (n *neighbours) orders(name string) {
+// orderRun has the coordinator order a run after it has handled all statuses that it was sent.
+func (n *sharedWorker) orderRun(name string) {
 	n.runs++
 	n.seq++
-	n.table.Start(n.now, name, &wire.StartRuns{Seq: n.seq, Seen: n.said[name].Stamp, Runs: []wire.RunOrder{{
+	n.table.Start(n.now, name, &wire.StartRuns{Seq: n.seq, Seen: n.lastStatus[name].Stamp, Runs: []wire.RunOrder{{
 		Ref: ref(n.runs, wire.BestEffortRun+n.runs), BestEffort: true, Need: durable.Resources{CPU: 1500},
 	}}})
 }
 
-// ended has the backend server end the run that is there longest.
-func (n *neighbours) ended() {
+// endOldest has the backend server end the run that started first.
+func (n *sharedWorker) endOldest() {
 	n.seq++
-	n.hold(nil, runtable.ListedEnd{Number: n.seq, Ref: n.held[0], Valid: true, How: wire.EndDone})
-	n.held = n.held[1:]
+	n.renewLease(nil, runtable.ListedEnd{Number: n.seq, Ref: n.running[0], Valid: true, How: wire.EndDone})
+	n.running = n.running[1:]
 }
 
-// full is a worker all of whose room a uses, and for which b and c ask, c first.
-func full() *neighbours {
-	n := newNeighbours()
-	n.orders("a")
-	n.orders("a")
+// fullWorker returns a worker whose capacity is used by a, and requested by b and c, of which c
+// comes first.
+func fullWorker() *sharedWorker {
+	n := newSharedWorker()
+	n.orderRun("a")
+	n.orderRun("a")
 	n.perform()
-	n.asks("b", 1, 40)
-	n.asks("c", 1, 30)
+	n.request("b", 1, 40)
+	n.request("c", 1, 30)
 	n.perform()
 	return n
 }
 
-var _ = Describe("a worker that is asked for room", func() {
-	It("tells it to who comes first, and of an end only to whom it concerns", func() {
-		n := full()
-		Expect(n.told).To(BeEmpty())
-		n.ended()
-		n.perform()
-		Expect(n.told).To(Equal([]string{"a", "c"}))
-		Expect(n.said["c"].Free.CPU).To(Equal(int64(2500)))
-		Expect(n.said["c"].Waiting).To(Equal([]wire.WaitingWork{{FirstMS: 38, LastMS: 38, Work: 90}}))
-		Expect(n.said["a"].Free.CPU).To(Equal(int64(1000)))
-		n.beat("b")
-		n.perform()
-		Expect(n.said["b"].Free.CPU).To(Equal(int64(1000)))
+var _ = Describe("a worker from which capacity is requested", func() {
+	It("grants it to the coordinator that comes first, and sends statuses only to those concerned", func() {
+		n := fullWorker()
+		Expect(n.statusTo).To(BeEmpty())
+		n.endOldest()
+		n.perform()
+		Expect(n.statusTo).To(Equal([]string{"a", "c"}))
+		Expect(n.lastStatus["c"].Free.CPU).To(Equal(int64(2500)))
+		Expect(n.lastStatus["c"].Waiting).To(Equal([]wire.WaitingWork{{FirstMS: 38, LastMS: 38, Work: 90}}))
+		Expect(n.lastStatus["a"].Free.CPU).To(Equal(int64(1000)))
+		n.sendHeartbeat("b")
+		n.perform()
+		Expect(n.lastStatus["b"].Free.CPU).To(Equal(int64(1000)))
 	})
 
-	It("hands back orders of others, and takes that of the owner of the grant", func() {
-		n := full()
-		n.ended()
-		n.orders("b")
-		n.orders("a")
+	It("hands back the orders of others, and takes the order of the grant's owner", func() {
+		n := fullWorker()
+		n.endOldest()
+		n.orderRun("b")
+		n.orderRun("a")
 		n.perform()
 		Expect(n.ends).To(ContainElements(
 			And(HaveField("How", uint8(wire.EndNotRun)), HaveField("Reason", "granted")),
 			And(HaveField("How", uint8(wire.EndNotRun)), HaveField("Reason", "granted"))))
-		n.orders("c")
+		n.orderRun("c")
 		n.perform()
-		Expect(n.held).To(HaveLen(2))
-		n.orders("b")
+		Expect(n.running).To(HaveLen(2))
+		n.orderRun("b")
 		n.perform()
 		Expect(n.ends[0].Reason).To(Equal("busy"))
 	})
 
-	It("takes orders as ever once a grant is lost: it ends by itself", func() {
-		n := full()
-		n.ended()
+	It("takes all orders again after a grant has been lost, since it expires", func() {
+		n := fullWorker()
+		n.endOldest()
 		n.perform()
 		n.pass(n.cfg.Room.Grant.D())
 		n.perform()
-		Expect(n.told).To(Equal([]string{"b"}))
-		n.orders("b")
+		Expect(n.statusTo).To(Equal([]string{"b"}))
+		n.orderRun("b")
 		n.perform()
-		Expect(n.held).To(HaveLen(2))
-		n.orders("c")
+		Expect(n.running).To(HaveLen(2))
+		n.orderRun("c")
 		n.perform()
 		Expect(n.ends[0].Reason).To(Equal("busy"))
 	})
 
-	It("takes an order that was on its way out of the room of its own sender", func() {
-		n := newNeighbours()
-		n.asks("c", 1, 0)
-		n.asks("b", 1, 10)
+	It("takes an order that was in transit out of the share of its sender", func() {
+		n := newSharedWorker()
+		n.request("c", 1, 0)
+		n.request("b", 1, 10)
 		n.perform()
-		n.said["c"] = &wire.WorkerStatus{Stamp: 1} // it has not handled the grant
-		n.orders("c")
+		n.lastStatus["c"] = &wire.WorkerStatus{Stamp: 1} // the grant has not reached c
+		n.orderRun("c")
 		n.perform()
-		n.orders("b")
+		n.orderRun("b")
 		n.perform()
-		Expect(n.held).To(HaveLen(2))
+		Expect(n.running).To(HaveLen(2))
 	})
 
-	It("keeps nothing for what it could never run", func() {
-		n := newNeighbours()
+	It("reserves nothing for tasks that can never fit", func() {
+		n := newSharedWorker()
 		for range 30 {
 			n.seq++
 			n.table.RequestCapacity(n.now, "b", &wire.RoomAsk{Seq: n.seq, Waits: []wire.RoomWait{{Need: durable.Resources{CPU: 4001}, Tasks: 1}}})
-			n.hold(nil)
+			n.renewLease(nil)
 			n.pass(10 * time.Millisecond)
 			n.perform()
 		}
-		n.beat("c")
+		n.sendHeartbeat("c")
 		n.perform()
-		Expect(n.said["c"].Free.CPU).To(Equal(int64(4000)))
+		Expect(n.lastStatus["c"].Free.CPU).To(Equal(int64(4000)))
 	})
 
-	It("gives the room on when its owner's connection is lost, or replaced", func() {
-		n := full()
-		n.ended()
+	It("grants the capacity to another when the owner's connection is lost or replaced", func() {
+		n := fullWorker()
+		n.endOldest()
 		n.perform()
 		n.table.OwnerDown(n.now, "c")
 		n.perform()
-		Expect(n.told).To(Equal([]string{"b"}))
+		Expect(n.statusTo).To(Equal([]string{"b"}))
 		n.table.OwnerUp(n.now, "b2", "member-b")
 		n.perform()
-		n.beat("b2")
+		n.sendHeartbeat("b2")
 		n.perform()
-		Expect(n.said["a"].Free.CPU).To(Equal(int64(2500)))
-		n.asks("b", 1, 0)
+		Expect(n.lastStatus["a"].Free.CPU).To(Equal(int64(2500)))
+		n.request("b", 1, 0)
 		n.perform()
-		Expect(n.said["a"].Waiting).To(BeEmpty(), "nothing counts that comes over a replaced connection")
+		Expect(n.lastStatus["a"].Waiting).To(BeEmpty(), "nothing counts that comes over a replaced connection")
 	})
 
-	It("tells all of all that is free once nobody asks any more", func() {
-		n := full()
-		n.asks("b", 0, 0)
-		n.ended()
-		n.asks("c", 0, 0)
+	It("advertises all free capacity to all once nobody requests any", func() {
+		n := fullWorker()
+		n.request("b", 0, 0)
+		n.endOldest()
+		n.request("c", 0, 0)
 		n.perform()
-		Expect(n.told).To(Equal([]string{"a", "b", "c"}))
-		Expect(n.said["b"].Free.CPU).To(Equal(int64(2500)))
-		n.ended()
+		Expect(n.statusTo).To(Equal([]string{"a", "b", "c"}))
+		Expect(n.lastStatus["b"].Free.CPU).To(Equal(int64(2500)))
+		n.endOldest()
 		n.perform()
-		Expect(n.told).To(Equal([]string{"a", "b", "c"}))
+		Expect(n.statusTo).To(Equal([]string{"a", "b", "c"}))
 	})
 
-	It("tells all of an end between an ask and its withdrawal", func() {
-		n := newNeighbours()
-		n.orders("a")
+	It("sends statuses to all for an end between a request and its withdrawal", func() {
+		n := newSharedWorker()
+		n.orderRun("a")
 		n.perform()
-		n.asks("b", 1, 0)
-		n.ended()
-		n.asks("b", 0, 0)
+		n.request("b", 1, 0)
+		n.endOldest()
+		n.request("b", 0, 0)
 		n.perform()
-		Expect(n.told).To(Equal([]string{"a", "b", "c"}))
+		Expect(n.statusTo).To(Equal([]string{"a", "b", "c"}))
 	})
 
-	It("forgets asks that are not repeated", func() {
-		n := full()
+	It("drops requests that are not repeated", func() {
+		n := fullWorker()
 		n.pass(n.cfg.Room.Ask.D())
 		n.perform()
-		Expect(n.told).To(Equal([]string{"a", "b", "c"}))
+		Expect(n.statusTo).To(Equal([]string{"a", "b", "c"}))
 	})
 
-	It("grants nothing where it takes nothing, and again when it does", func() {
-		for name, stop := range map[string]func(n *neighbours){
-			"evacuated": func(n *neighbours) {
+	It("grants nothing while it takes no orders", func() {
+		for name, stop := range map[string]func(n *sharedWorker){
+			"evacuated": func(n *sharedWorker) {
 				n.table.SetEvacuations(n.now, routing.Evacuations{Offset: 3, DataCentres: []string{"dc"}})
 			},
-			"draining": func(n *neighbours) {
+			"draining": func(n *sharedWorker) {
 				id := identity
 				id.Ready = false
 				n.table.Identify(n.now, id)
 			},
-			"its life is over": func(n *neighbours) {
+			"its incarnation is over": func(n *sharedWorker) {
 				call, _ := n.table.NextRenewal(n.now)
 				n.table.RenewAnswered(n.now, call, runtable.RenewAnswer{Result: runtable.RenewConnectionRefused})
 			},
-			"silent": func(n *neighbours) { n.pass(n.cfg.Silence.D() + time.Millisecond) },
+			"silent": func(n *sharedWorker) { n.pass(n.cfg.Silence.D() + time.Millisecond) },
 		} {
-			n := full()
-			n.ended()
+			n := fullWorker()
+			n.endOldest()
 			n.perform()
 			stop(n)
 			n.perform()
-			n.asks("b", 2, 0)
-			n.asks("c", 2, 0)
+			n.request("b", 2, 0)
+			n.request("c", 2, 0)
 			n.perform()
-			Expect(n.said["c"].Ready).To(BeFalse(), name)
+			Expect(n.lastStatus["c"].Ready).To(BeFalse(), name)
 			Expect(n.out.Notes).NotTo(ContainElement(HaveField("What", runtable.GrantMade)), name)
-			n.orders("c")
+			n.orderRun("c")
 			n.perform()
 			Expect(n.ends).To(ContainElement(HaveField("How", uint8(wire.EndNotRun))), name)
-			Expect(n.held).To(HaveLen(1), name)
+			Expect(n.running).To(HaveLen(1), name)
 		}
 	})
 
-	It("grants the room of the next life to asks that stand", func() {
-		n := full()
+	It("grants the capacity of the next incarnation to pending requests", func() {
+		n := fullWorker()
 		next := identity
 		next.Instance = "i-2"
 		n.table.Identify(n.now, next)
 		n.perform()
-		n.hold(nil)
-		n.hold(nil)
+		n.renewLease(nil)
+		n.renewLease(nil)
 		n.perform()
-		Expect(n.said["a"].Free.CPU).To(Equal(int64(1000)))
-		Expect(n.said["b"].Free.CPU).To(Equal(int64(2500)))
-		Expect(n.said["c"].Free.CPU).To(Equal(int64(2500)))
+		Expect(n.lastStatus["a"].Free.CPU).To(Equal(int64(1000)))
+		Expect(n.lastStatus["b"].Free.CPU).To(Equal(int64(2500)))
+		Expect(n.lastStatus["c"].Free.CPU).To(Equal(int64(2500)))
 	})
 
-	It("hands back what was granted before it shrank", func() {
-		n := full()
-		n.ended()
+	It("hands back orders under grants from before the capacity shrank", func() {
+		n := fullWorker()
+		n.endOldest()
 		n.perform()
 		small := identity
 		small.Capacity.CPU = 2000
 		n.table.Identify(n.now, small)
-		n.orders("c")
+		n.orderRun("c")
 		n.perform()
 		Expect(n.ends[0].Reason).To(Equal("busy"))
-		Expect(n.said["c"].Free.CPU).To(Equal(int64(500)))
+		Expect(n.lastStatus["c"].Free.CPU).To(Equal(int64(500)))
 	})
 
-	It("grants nothing for a while after the backend server had less room than was thought", func() {
-		n := newNeighbours()
-		n.orders("a")
+	It("grants nothing for a while after the backend server had less capacity than assumed", func() {
+		n := newSharedWorker()
+		n.orderRun("a")
 		n.table.StartAnswered(n.now, n.take().Starts[0], runtable.StartNoRoom)
-		n.asks("b", 1, 0)
+		n.request("b", 1, 0)
 		n.perform()
-		Expect(n.told).NotTo(ContainElement("b"))
-		n.hold(nil)
+		Expect(n.statusTo).NotTo(ContainElement("b"))
+		n.renewLease(nil)
 		n.pass(20 * time.Millisecond)
 		n.perform()
-		Expect(n.told).To(ContainElement("b"))
+		Expect(n.statusTo).To(ContainElement("b"))
 	})
 
-	It("whose process is new holds nothing back until it is asked anew", func() {
-		n := newNeighbours()
-		n.orders("a")
-		n.orders("b")
+	It("reserves nothing in a new process until capacity is requested again", func() {
+		n := newSharedWorker()
+		n.orderRun("a")
+		n.orderRun("b")
 		n.perform()
-		Expect(n.held).To(HaveLen(2))
+		Expect(n.running).To(HaveLen(2))
 	})
 
-	It("shows operators who asks for what, and to whom room is granted", func() {
-		n := full()
-		n.ended()
+	It("shows operators the requests and the grants", func() {
+		n := fullWorker()
+		n.endOldest()
 		n.perform()
 		v := n.table.View(n.now)
 		Expect(v.Incarnation).To(Equal(identity.Instance))
@@ -323,12 +324,12 @@
 		Expect(v.Grants).To(ConsistOf(And(HaveField("Owner", "c"), HaveField("WasTold", true))))
 	})
 
-	It("says for the log what it granted, and what became of it", func() {
-		n := full()
-		n.ended()
+	It("logs the grants and what became of them", func() {
+		n := fullWorker()
+		n.endOldest()
 		n.perform()
 		Expect(n.out.Notes).To(ContainElement(runtable.Note{What: runtable.GrantMade, Reason: "member-c", Frequent: true}))
-		n.orders("c")
+		n.orderRun("c")
 		n.perform()
 		Expect(n.out.Notes).To(ContainElement(runtable.Note{What: runtable.GrantUsed, Reason: "member-c", Frequent: true}))
 	})
--- a/jobs/runtable/coowners_test.go
+++ b/jobs/runtable/coowners_test.go
@@ -13,27 +13,27 @@
 
 const other = "conn-2"
 
-// beat renews the leases of a connection of best-effort jobs from now.
-func (f *fixture) beat(name string) {
+// sendHeartbeat renews the best-effort lease of the coordinator on the connection, from now.
+func (f *fixture) sendHeartbeat(name string) {
 	f.table.Heartbeat(f.now, name, &wire.OwnerHeartbeat{Echo: f.now.Sub(time.Unix(1000, 0)).Microseconds() + 1})
 }
 
-// orderedTwice is a table with one run that two coordinators have ordered, each as its own.
+// orderedTwice returns a table with one run that two coordinators have ordered independently.
 func orderedTwice() *fixture {
 	f := newFixture().ready()
-	f.order(0, best)
+	f.order(0, bestEffortRef)
 	f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
 	f.table.OwnerUp(f.now, other, "c1/1")
-	f.beat(other)
-	f.table.Start(f.now, other, &wire.StartRuns{Seq: 1, Runs: []wire.RunOrder{{Ref: best, BestEffort: true, Need: durable.Resources{CPU: 1500}}}})
+	f.sendHeartbeat(other)
+	f.table.Start(f.now, other, &wire.StartRuns{Seq: 1, Runs: []wire.RunOrder{{Ref: bestEffortRef, BestEffort: true, Need: durable.Resources{CPU: 1500}}}})
 	e := f.take()
 	Expect(e.Starts).To(BeEmpty(), "it is the same run")
 	Expect(ends(e)).To(BeEmpty())
 	return f
 }
 
-// told returns to whom ends were told.
-func told(e runtable.Effects) []string {
+// endRecipients returns the connections to which ends are sent.
+func endRecipients(e runtable.Effects) []string {
 	var names []string
 	for _, s := range e.Sends {
 		if _, ok := s.Message.(*wire.RunEnds); ok {
@@ -43,18 +43,19 @@
 	return names
 }
 
-// TestBothCoordinatorsHearOfTheirRun guards against a coordinator hearing no more of its run, and
-// its caller waiting for ever, once another has ordered the same run of the same job.
-func TestBothCoordinatorsHearOfTheirRun(t *testing.T) {
+// TestBothCoordinatorsAreSentTheEnd guards against a coordinator that is not sent the end of its
+// run, so that its caller waits for ever, because another has ordered the same run of the same
+// job.
+func TestBothCoordinatorsAreSentTheEnd(t *testing.T) {
 	for name, end := range map[string]func(f *fixture){
 		"listed": func(f *fixture) {
-			f.hold(nil, runtable.ListedEnd{Number: 1, Ref: best, Valid: true, How: wire.EndDone})
+			f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: bestEffortRef, Valid: true, How: wire.EndDone})
 		},
 		"crashed": func(f *fixture) { f.crash() },
 		"lapsed": func(f *fixture) {
 			f.pass(f.cfg.Silence.D() + time.Millisecond)
-			f.beat(owner)
-			f.beat(other)
+			f.sendHeartbeat(owner)
+			f.sendHeartbeat(other)
 			f.pass(f.cfg.BackendLease.D())
 		},
 	} {
@@ -62,31 +63,31 @@
 			RegisterTestingT(t)
 			f := orderedTwice()
 			end(f)
-			Expect(told(f.take())).To(ConsistOf(owner, other))
+			Expect(endRecipients(f.take())).To(ConsistOf(owner, other))
 		})
 	}
 }
 
-// TestRunOfTwoIsStoppedWithTheFirstLease guards against a run going on under the lease of one
-// coordinator while the other writes it off.
-func TestRunOfTwoIsStoppedWithTheFirstLease(t *testing.T) {
-	for _, heard := range []string{owner, other} {
+// TestCoOwnedRunIsStoppedWithTheFirstLease guards against a run that continues under the lease
+// of one coordinator while the other writes it off.
+func TestCoOwnedRunIsStoppedWithTheFirstLease(t *testing.T) {
+	for _, renewing := range []string{owner, other} {
 		RegisterTestingT(t)
 		f := orderedTwice()
-		f.passHolding(f.cfg.BestEffortLease.D() / 2)
-		f.beat(heard)
-		f.passHolding(f.cfg.BestEffortLease.D()/2 + time.Millisecond)
+		f.passRenewing(f.cfg.BestEffortLease.D() / 2)
+		f.sendHeartbeat(renewing)
+		f.passRenewing(f.cfg.BestEffortLease.D()/2 + time.Millisecond)
 		Expect(f.take().Stops).To(HaveLen(1))
 	}
 }
 
-// TestRunOfTwoIsStoppedByEither guards against a stop of the first coordinator doing nothing once
-// another has ordered the same run.
-func TestRunOfTwoIsStoppedByEither(t *testing.T) {
+// TestCoOwnedRunIsStoppedByEither guards against a stop of the first coordinator that has no
+// effect because another has ordered the same run.
+func TestCoOwnedRunIsStoppedByEither(t *testing.T) {
 	for _, stops := range []string{owner, other} {
 		RegisterTestingT(t)
 		f := orderedTwice()
-		f.table.Stop(f.now, stops, &wire.StopRuns{Runs: []wire.RunRef{best}})
+		f.table.Stop(f.now, stops, &wire.StopRuns{Runs: []wire.RunRef{bestEffortRef}})
 		Expect(f.take().Stops).To(HaveLen(1))
 	}
 }
--- a/jobs/runtable/crash_test.go
+++ b/jobs/runtable/crash_test.go
@@ -11,8 +11,8 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// orderSuspects orders runs, each of a task with so many crashes, and has the first ones
-// answered.
+// orderSuspects orders one run for each number of crashes, which its task has caused before. The
+// first starts, as many as answered says, are accepted.
 func (f *fixture) orderSuspects(answered int, crashes ...uint32) {
 	m := &wire.StartRuns{Seq: f.seq}
 	for i, n := range crashes {
@@ -26,9 +26,9 @@
 	}
 }
 
-// crash ends the life of the backend server: nothing listens there, and then another answers.
+// crash ends the incarnation: a connection is refused, and then another incarnation is in force.
 func (f *fixture) crash() {
-	f.refused()
+	f.refuseRenewal()
 	f.table.Identify(f.now, nextIdentity())
 }
 
@@ -38,8 +38,8 @@
 	return next
 }
 
-// reports returns all that a new owner of the partition is told of it.
-func (f *fixture) reports(name string, epoch uint64) []wire.RunEnd {
+// partitionReport returns the ends that a new owner of the partition is sent.
+func (f *fixture) partitionReport(name string, epoch uint64) []wire.RunEnd {
 	f.table.OwnerUp(f.now, name, name)
 	var stamp int64
 	for _, s := range f.take().Sends {
@@ -60,15 +60,15 @@
 	return out
 }
 
-// nextLife brings the table to where the next life of the backend server takes orders.
-func (f *fixture) nextLife() {
+// nextIncarnation makes the next incarnation of the backend server ready for orders.
+func (f *fixture) nextIncarnation() {
 	f.table.Identify(f.now, nextIdentity())
-	f.hold(nil)
-	f.hold(nil)
+	f.renewLease(nil)
+	f.renewLease(nil)
 }
 
 var _ = Describe("a crash of the backend server", func() {
-	It("is told of each run there: whether it was at work, and which was the only suspect", func() {
+	It("is reported for each run: whether it had started, and whether it was the only suspect", func() {
 		f := newFixture().ready()
 		f.orderSuspects(2, 0, 1, 0)
 		f.crash()
@@ -79,19 +79,19 @@
 		))
 	})
 
-	It("accuses no suspect alone where there were two", func() {
+	It("marks no run as the only suspect if there were two", func() {
 		f := newFixture()
 		f.table.Identify(f.now, identity)
-		f.hold(nil)
+		f.renewLease(nil)
 		f.table.OwnerUp(f.now, owner, member)
 		f.heartbeat(7)
-		f.hold([]runtable.ListedRun{{Ref: ref(0, 1)}, {Ref: ref(1, 1)}}) // of an earlier process: of unknown crashes
+		f.renewLease([]runtable.ListedRun{{Ref: ref(0, 1)}, {Ref: ref(1, 1)}}) // adopted: their crashes are unknown
 		f.take()
 		f.crash()
 		Expect(ends(f.take())).To(And(HaveLen(2), HaveEach(HaveField("Alone", false))))
 	})
 
-	It("finds one suspect at a time: the next is handed back while one is there", func() {
+	It("finds one suspect at a time, since a second one is handed back", func() {
 		f := newFixture().ready()
 		f.orderSuspects(1, 1, 2, 0)
 		Expect(ends(f.out)).To(ConsistOf(And(HaveField("Ref", ref(1, 1)), HaveField("How", uint8(wire.EndNotRun)), HaveField("Reason", "suspect_there"))))
@@ -99,58 +99,58 @@
 		Expect(ends(f.take())).To(ContainElement(And(HaveField("Ref", ref(0, 1)), HaveField("Alone", true))))
 	})
 
-	It("is none where the backend server had said that it would leave", func() {
+	It("is none if the backend server had announced its end", func() {
 		f := newFixture().ready()
 		f.orderSuspects(1, 1)
 		leaving := identity
 		leaving.Ready = false
 		f.table.Identify(f.now, leaving)
 		f.crash()
-		told := ends(f.take())
-		Expect(how(told[0])).To(Equal(wire.EndLost))
+		reported := ends(f.take())
+		Expect(how(reported[0])).To(Equal(wire.EndLost))
 	})
 
-	It("is one where only the name of the life is known: it has said nothing", func() {
+	It("is one if only the ID of the incarnation is known, since it has announced nothing", func() {
 		f := newFixture()
 		f.table.Identify(f.now, runtable.Identity{Instance: "i-1"})
-		f.hold(nil)
+		f.renewLease(nil)
 		f.table.OwnerUp(f.now, owner, member)
 		f.heartbeat(7)
-		f.hold([]runtable.ListedRun{{Ref: ref(0, 1)}})
+		f.renewLease([]runtable.ListedRun{{Ref: ref(0, 1)}})
 		f.take()
 		f.crash()
 		Expect(ends(f.take())).To(ConsistOf(And(HaveField("How", uint8(wire.EndCrashed)), HaveField("Begun", true), HaveField("Alone", true))))
 	})
 
-	It("is told to a later owner of the partition, until one has kept it", func() {
+	It("is reported to later owners of the partition until one has stored it", func() {
 		f := newFixture().ready()
 		f.orderSuspects(1, 0)
 		f.table.OwnerDown(f.now, owner)
 		f.crash()
-		f.nextLife()
-		Expect(f.reports("conn-2", 8)).To(ConsistOf(HaveField("How", uint8(wire.EndCrashed))))
-		Expect(f.reports("conn-3", 9)).To(HaveLen(1))
+		f.nextIncarnation()
+		Expect(f.partitionReport("conn-2", 8)).To(ConsistOf(HaveField("How", uint8(wire.EndCrashed))))
+		Expect(f.partitionReport("conn-3", 9)).To(HaveLen(1))
 		f.table.AcknowledgeEnds(f.now, "conn-3", &wire.EndsKept{Runs: []wire.RunRef{ref(0, 1)}})
-		Expect(f.reports("conn-4", 10)).To(BeEmpty())
+		Expect(f.partitionReport("conn-4", 10)).To(BeEmpty())
 	})
 
-	It("is forgotten when no owner has asked for long", func() {
+	It("is forgotten if no owner has asked for long", func() {
 		f := newFixture().ready()
 		f.orderSuspects(1, 0)
 		f.crash()
-		f.nextLife()
-		f.passHolding(40 * time.Second)
-		Expect(f.reports("conn-2", 8)).To(BeEmpty())
+		f.nextIncarnation()
+		f.passRenewing(40 * time.Second)
+		Expect(f.partitionReport("conn-2", 8)).To(BeEmpty())
 	})
 
-	It("is told to a coordinator that asks for a best-effort run over a new connection", func() {
+	It("is reported to a coordinator that asks about a best-effort run on a new connection", func() {
 		f := newFixture().ready()
 		r := ref(0, wire.BestEffortRun+1)
 		f.order(7, r)
 		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
 		f.table.OwnerDown(f.now, owner)
 		f.crash()
-		f.nextLife()
+		f.nextIncarnation()
 		f.table.OwnerUp(f.now, "conn-2", member)
 		f.table.QueryRuns(f.now, "conn-2", &wire.RunsQuery{Runs: []wire.RunRef{r}})
 		var ended []wire.RunEnd
@@ -162,7 +162,7 @@
 		Expect(ended).To(ConsistOf(HaveField("How", uint8(wire.EndCrashed))))
 	})
 
-	It("is not under a run whose order could not be sent", func() {
+	It("is not blamed on a run whose order could not be sent", func() {
 		f := newFixture().ready()
 		f.order(7, ref(0, 1))
 		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartConnectionRefused)
--- a/jobs/runtable/fenced_test.go
+++ b/jobs/runtable/fenced_test.go
@@ -9,10 +9,10 @@
 	"github.com/lichenfall/lichenfall/jobs/runtable"
 )
 
-// TestFencedTokenIsNotUsedAgain has the backend server say that a higher fencing token
-// has been seen, to an order or to a renewal, while other calls are open that are then
-// repeated: none of the later calls may carry the token that was passed.
-func TestFencedTokenIsNotUsedAgain(t *testing.T) {
+// TestFencedTokenIsNotReused has the backend server answer an order or a renewal that it has
+// seen a higher fencing token, while other calls are pending that are then resent. No later call
+// may carry the old token.
+func TestFencedTokenIsNotReused(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		fence func(f *fixture, start runtable.StartCall)
@@ -35,24 +35,24 @@
 			f.table.StartAnswered(f.now, starts[1], runtable.StartUnknown)
 			f.take()
 			test.fence(f, starts[0])
-			for range 200 { // 5 s, far more than the users' 3 s
+			for range 200 { // 5 s, far more than the 3 s that the users allow
 				f.pass(25 * time.Millisecond)
 				if call, ok := f.table.NextRenewal(f.now); ok {
 					if call.Token == passed {
-						t.Fatal("the lease was renewed under a token that was passed")
+						t.Fatal("the lease was renewed under a fenced token")
 					}
 					f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewOK, Clock: f.clock()})
 				}
 				e := f.take()
 				for _, c := range e.Starts {
 					if c.Token == passed {
-						t.Fatal("a run was ordered under a token that was passed")
+						t.Fatal("a run was ordered under a fenced token")
 					}
 					f.table.StartAnswered(f.now, c, runtable.StartUnknown)
 				}
 				for _, c := range e.Stops {
 					if c.Token == passed {
-						t.Fatal("a run was stopped under a token that was passed")
+						t.Fatal("a run was stopped under a fenced token")
 					}
 					f.table.StopAnswered(f.now, c, true)
 				}
--- a/jobs/runtable/queries_test.go
+++ b/jobs/runtable/queries_test.go
@@ -8,11 +8,11 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// A coordinator that gives a best-effort job up while its connection is lost can send no stop,
-// and does not ask about the run later. Its heartbeats over the next connection would keep
-// the run to its end.
-var _ = Describe("a question about best-effort runs", func() {
-	It("has those stopped that it does not name", func() {
+// A coordinator that gives up a best-effort job while its connection is lost cannot send a stop,
+// and does not ask about the run later. Its heartbeats on the next connection would keep the run
+// alive until its end, so a query stops the runs that it does not name.
+var _ = Describe("a query about best-effort runs", func() {
+	It("stops the runs that it does not name", func() {
 		f := newFixture().ready()
 		wanted, given := ref(0, wire.BestEffortRun+1), ref(1, wire.BestEffortRun+1)
 		f.order(7, wanted, given)
@@ -25,7 +25,7 @@
 		Expect(f.take().Stops).To(ConsistOf(HaveField("Ref", given)))
 	})
 
-	It("has all stopped if it names none", func() {
+	It("stops all best-effort runs if it names none", func() {
 		f := newFixture().ready()
 		f.order(7, ref(0, wire.BestEffortRun+1), ref(1, 3))
 		for _, c := range f.take().Starts {
--- a/jobs/runtable/races_test.go
+++ b/jobs/runtable/races_test.go
@@ -11,42 +11,43 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// What these tests have in common: the owner of a best-effort run is told that it has ended, or
-// writes it off, and orders its task elsewhere. So the run must be over by then, and no copy of
-// its order may begin later.
+// These tests share one premise: when the owner of a best-effort run is sent its end, or writes
+// the run off, it orders the task elsewhere. By then the run must be over, and no duplicate of
+// its order may start it later.
 
-var best = ref(0, wire.BestEffortRun+1)
+var bestEffortRef = ref(0, wire.BestEffortRun+1)
 
-// twoCopies leaves two copies of one order on their way: a silence ends while the first is, and
-// what has no answer is sent again.
-func twoCopies(f *fixture) (first, second runtable.StartCall) {
-	f.hold(nil)
+// sendOrderTwice leaves two duplicates of one order in transit: the backend server answers again
+// after a silence, and the order that has no answer is resent.
+func sendOrderTwice(f *fixture) (first, second runtable.StartCall) {
+	f.renewLease(nil)
 	f.pass(f.cfg.Silence.D() - 10*time.Millisecond)
-	f.order(0, best)
+	f.order(0, bestEffortRef)
 	starts := f.take().Starts
 	Expect(starts).To(HaveLen(1))
-	f.pass(20 * time.Millisecond) // silent now; the first copy has 40 ms left
-	f.hold(nil)
+	f.pass(20 * time.Millisecond) // silent now; the first order has 40 ms left
+	f.renewLease(nil)
 	again := f.take().Starts
 	Expect(again).To(HaveLen(1))
 	return starts[0], again[0]
 }
 
-// TestRefusedCopyOfAnOrder guards against the refusal of one copy being told as a run that never
-// was, while the other copy is on its way: that one begins, and the table does not know it.
-func TestRefusedCopyOfAnOrder(t *testing.T) {
+// TestRefusedDuplicateOrder guards against reporting a run as not run because one duplicate of
+// its order was refused, while the other is still in transit. That one starts a run which the
+// table does not know.
+func TestRefusedDuplicateOrder(t *testing.T) {
 	for _, refusal := range []runtable.StartResult{runtable.StartNoRoom, runtable.StartUnhealthy, runtable.StartLeaseExpired, runtable.StartConnectionRefused} {
 		for _, firstIsRefused := range []bool{true, false} {
 			RegisterTestingT(t)
 			f := newFixture().ready()
-			refused, other := twoCopies(f)
+			refused, other := sendOrderTwice(f)
 			if !firstIsRefused {
 				refused, other = other, refused
 			}
 			f.table.StartAnswered(f.now, refused, refusal)
 			for _, e := range ends(f.take()) {
 				if how(e) == wire.EndNotRun {
-					t.Errorf("%v, the first copy's: %v: the owner is told %q", refusal, firstIsRefused, e.Reason)
+					t.Errorf("refusal %v, of the first order: %v: the owner is sent the end %q", refusal, firstIsRefused, e.Reason)
 				}
 			}
 			f.table.StartAnswered(f.now, other, runtable.StartAccepted)
@@ -54,57 +55,60 @@
 	}
 }
 
-// live has a life of the backend server begin, under an ID that comes back.
-func (f *fixture) live(born int64) {
+// startIncarnation starts an incarnation of the backend server whose instance ID is reused.
+func (f *fixture) startIncarnation(born int64) {
 	id := identity
 	id.Born = born
 	f.table.Identify(f.now, id)
-	f.hold(nil)
-	f.hold(nil)
+	f.renewLease(nil)
+	f.renewLease(nil)
 }
 
-// bornFixture is ready, beside a backend server that goes by the same ID in each life.
-func bornFixture(born int64) *fixture {
+// restartingFixture returns a ready table beside a backend server that has the same instance ID
+// in each incarnation.
+func restartingFixture(born int64) *fixture {
 	f := newFixture()
-	f.live(born)
+	f.startIncarnation(born)
 	f.table.OwnerUp(f.now, owner, member)
 	f.heartbeat(7)
 	f.take()
 	return f
 }
 
-// TestRefusedCopyMeetsNextLife guards against a refusal of one copy ending a run whose other copy
-// may still meet the next life of a backend server that goes by the same ID.
-func TestRefusedCopyMeetsNextLife(t *testing.T) {
+// TestRefusedDuplicateBeforeNextIncarnation guards against ending a run because one duplicate of
+// its order was refused, while the other may still reach the next incarnation, which has the
+// same instance ID.
+func TestRefusedDuplicateBeforeNextIncarnation(t *testing.T) {
 	RegisterTestingT(t)
-	f := bornFixture(1000)
-	first, second := twoCopies(f)
+	f := restartingFixture(1000)
+	first, second := sendOrderTwice(f)
 	f.table.StartAnswered(f.now, first, runtable.StartUnknown)
 	third := f.take().Starts[0]
-	Expect(f.refusedUntilGivenUp()).To(BeEmpty())
+	Expect(f.refuseUntilGivenUp()).To(BeEmpty())
 	f.table.StartAnswered(f.now, third, runtable.StartConnectionRefused)
 	f.table.StartAnswered(f.now, second, runtable.StartConnectionRefused)
 	Expect(ends(f.take())).To(BeEmpty(), "the first copy may be carried out late")
-	f.live(2000)
+	f.startIncarnation(2000)
 	Expect(f.take().Stops).To(HaveLen(1))
 }
 
-// writeOff returns when, on the backend server's clock, an owner orders the tasks anew that are
-// with a worker which it cannot reach, if it sent its last heartbeat now.
-func writeOff(f *fixture) time.Duration {
+// writeOffTime returns when, on the backend server's clock, an owner that sends its last
+// heartbeat now writes off the runs of a worker that it cannot reach, and orders their tasks
+// elsewhere.
+func writeOffTime(f *fixture) time.Duration {
 	s := config.DefaultScheduler()
 	return f.clock() + s.Core("dc").BestEffortWriteOff
 }
 
-// TestOrderRepeatedAfterTheOwnersLease guards against an order without an answer being repeated,
-// under a new deadline, while the backend server's lease is to lapse.
+// TestOrderRepeatedAfterTheOwnersLease guards against resending an unanswered order under a new
+// deadline while the backend server's lease is to lapse.
 func TestOrderRepeatedAfterTheOwnersLease(t *testing.T) {
 	RegisterTestingT(t)
 	f := newFixture().ready()
 	f.heartbeat(7)
-	writtenOff := writeOff(f)
-	f.passHolding(f.cfg.BestEffortLease.D() - 10*time.Millisecond)
-	f.order(0, best)
+	writtenOff := writeOffTime(f)
+	f.passRenewing(f.cfg.BestEffortLease.D() - 10*time.Millisecond)
+	f.order(0, bestEffortRef)
 	call := f.take().Starts[0]
 	last, step := call.Deadline, 20*time.Millisecond
 	for n := 1; n < 60; n++ {
@@ -112,7 +116,7 @@
 			f.table.RenewAnswered(f.now, renewal, runtable.RenewAnswer{Result: runtable.RenewOK, Clock: f.clock()})
 		}
 		f.pass(step)
-		if n%4 == 0 { // the limit of a call, and the pause after it
+		if n%4 == 0 { // the timeout of a call and the pause after it
 			f.table.StartAnswered(f.now, call, runtable.StartUnknown)
 		}
 		for _, c := range f.take().Starts {
@@ -124,18 +128,18 @@
 	}
 }
 
-// TestUnwantedOrderIsNotRepeated guards against an order being repeated whose run is to be
-// stopped: by its owner, or since the owner's lease is over.
+// TestUnwantedOrderIsNotRepeated guards against resending the order of a run that is to be
+// stopped, by its owner or because the owner's lease has expired.
 func TestUnwantedOrderIsNotRepeated(t *testing.T) {
 	for name, unwanted := range map[string]func(f *fixture){
-		"stopped":    func(f *fixture) { f.table.Stop(f.now, owner, &wire.StopRuns{Runs: []wire.RunRef{best}}) },
-		"lease over": func(f *fixture) { f.passHolding(f.cfg.BestEffortLease.D()/2 + time.Millisecond) },
+		"stopped":    func(f *fixture) { f.table.Stop(f.now, owner, &wire.StopRuns{Runs: []wire.RunRef{bestEffortRef}}) },
+		"lease over": func(f *fixture) { f.passRenewing(f.cfg.BestEffortLease.D()/2 + time.Millisecond) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			RegisterTestingT(t)
 			f := newFixture().ready()
-			f.passHolding(f.cfg.BestEffortLease.D() / 2)
-			f.order(0, best)
+			f.passRenewing(f.cfg.BestEffortLease.D() / 2)
+			f.order(0, bestEffortRef)
 			call := f.take().Starts[0]
 			unwanted(f)
 			f.table.StartAnswered(f.now, call, runtable.StartUnknown)
@@ -143,15 +147,15 @@
 			Expect(e.Starts).To(BeEmpty())
 			Expect(e.Stops).To(HaveLen(1))
 			f.table.StopAnswered(f.now, e.Stops[0], true)
-			f.hold(nil)
+			f.renewLease(nil)
 			Expect(ends(f.take())).To(ConsistOf(HaveField("Reason", "sealed")))
 		})
 	}
 }
 
-// keptAlive returns the end of the last lease that is asked for until the table calls the runs
-// dead, or has had 5 s, at a backend server that answers renewals and no stops.
-func keptAlive(f *fixture, running []runtable.ListedRun) time.Duration {
+// lastDeadline returns the latest lease end that is requested until the table reports the runs
+// as lapsed, or for 5 s, of a backend server that answers renewals but no stops.
+func lastDeadline(f *fixture, running []runtable.ListedRun) time.Duration {
 	last := time.Duration(0)
 	for range 250 {
 		if renewal, ok := f.table.NextRenewal(f.now); ok {
@@ -172,116 +176,119 @@
 	return last
 }
 
-// TestOwnersLeaseSeenLate guards against the grace counting from when the end of the owner's
-// lease is seen: a control goroutine that is late would renew for as much longer.
-func TestOwnersLeaseSeenLate(t *testing.T) {
+// TestOwnersLeaseExpiryNoticedLate guards against counting the grace from when the expiry of the
+// owner's lease is noticed. A stalled control goroutine would then renew for too long, by the
+// length of the stall.
+func TestOwnersLeaseExpiryNoticedLate(t *testing.T) {
 	RegisterTestingT(t)
 	f := newFixture().ready()
 	f.heartbeat(7)
-	writtenOff := writeOff(f)
-	f.order(0, best)
+	writtenOff := writeOffTime(f)
+	f.order(0, bestEffortRef)
 	f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
-	f.passHolding(f.cfg.BestEffortLease.D() - 10*time.Millisecond)
-	f.now = f.now.Add(600 * time.Millisecond) // the control goroutine stands still
-	if last := keptAlive(f, []runtable.ListedRun{{Ref: best}}); last > writtenOff {
+	f.passRenewing(f.cfg.BestEffortLease.D() - 10*time.Millisecond)
+	f.now = f.now.Add(600 * time.Millisecond) // the control goroutine is stalled
+	if last := lastDeadline(f, []runtable.ListedRun{{Ref: bestEffortRef}}); last > writtenOff {
 		t.Errorf("kept alive until %v after the write-off", last-writtenOff)
 	}
 }
 
-// TestRunStoppedInTimeFreesTheLease guards against the lease of all staying bounded by the end of
-// one owner's, whose run was stopped in time.
+// TestRunStoppedInTimeFreesTheLease guards against a backend server's lease that stays limited
+// by the expiry of one owner's lease although that owner's run was stopped in time.
 func TestRunStoppedInTimeFreesTheLease(t *testing.T) {
 	RegisterTestingT(t)
 	f := newFixture().ready()
-	f.order(0, best)
+	f.order(0, bestEffortRef)
 	f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
-	f.passHolding(f.cfg.BestEffortLease.D() - 10*time.Millisecond)
-	f.now = f.now.Add(600 * time.Millisecond) // the control goroutine stands still
-	bounded := f.hold([]runtable.ListedRun{{Ref: best}})
+	f.passRenewing(f.cfg.BestEffortLease.D() - 10*time.Millisecond)
+	f.now = f.now.Add(600 * time.Millisecond) // the control goroutine is stalled
+	bounded := f.renewLease([]runtable.ListedRun{{Ref: bestEffortRef}})
 	Expect(f.take().Stops).To(HaveLen(1))
-	f.hold(nil, runtable.ListedEnd{Number: 1, Ref: best, Valid: true, How: wire.EndStopped})
+	f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: bestEffortRef, Valid: true, How: wire.EndStopped})
 	Expect(bounded.Deadline).To(BeNumerically("<", f.clock()+f.cfg.BackendLease.D()))
-	Expect(f.hold(nil).Deadline).To(Equal(f.clock() + f.cfg.BackendLease.D()))
+	Expect(f.renewLease(nil).Deadline).To(Equal(f.clock() + f.cfg.BackendLease.D()))
 	f.pass(f.cfg.StopGrace.D())
 	_, ok := f.table.NextRenewal(f.now)
 	Expect(ok).To(BeTrue(), "nothing lapses")
 }
 
-// TestAdoptedRunThatCannotBeStopped guards against the lease being renewed for ever under a run
-// that an earlier process ordered, nobody asks about, and no stop reaches.
+// TestAdoptedRunThatCannotBeStopped guards against renewing the lease for ever under a run that
+// an earlier process ordered, that no coordinator asks about, and that no stop reaches.
 func TestAdoptedRunThatCannotBeStopped(t *testing.T) {
 	RegisterTestingT(t)
 	f := newFixture()
-	writtenOff := writeOff(f) // the earlier process ends now
-	running := []runtable.ListedRun{{Ref: best}}
+	writtenOff := writeOffTime(f) // the earlier process ends now
+	running := []runtable.ListedRun{{Ref: bestEffortRef}}
 	f.table.Identify(f.now, identity)
-	f.hold(running)
-	f.hold(running)
-	if last := keptAlive(f, running); last > writtenOff {
+	f.renewLease(running)
+	f.renewLease(running)
+	if last := lastDeadline(f, running); last > writtenOff {
 		t.Errorf("kept alive until %v after the write-off", last-writtenOff)
 	}
 }
 
-// TestAdoptedRunOutlivesNoWriteOff guards against a new process keeping a run alive past the
-// write-off by an owner that was not heard any more before the earlier process ended.
+// TestAdoptedRunOutlivesNoWriteOff guards against a new process that keeps a run alive after an
+// owner has written it off, whose last heartbeat came before the earlier process ended.
 func TestAdoptedRunOutlivesNoWriteOff(t *testing.T) {
 	RegisterTestingT(t)
 	f := newFixture()
-	writtenOff := writeOff(f) - f.cfg.BestEffortLease.D()
-	f.now = f.now.Add(600 * time.Millisecond) // until the new process is there
-	running := []runtable.ListedRun{{Ref: best}}
+	writtenOff := writeOffTime(f) - f.cfg.BestEffortLease.D()
+	f.now = f.now.Add(600 * time.Millisecond) // until the new process has started
+	running := []runtable.ListedRun{{Ref: bestEffortRef}}
 	f.table.Identify(f.now, identity)
-	last := max(f.hold(running).Deadline, f.hold(running).Deadline)
-	if last = max(last, keptAlive(f, running)); last > writtenOff {
+	last := max(f.renewLease(running).Deadline, f.renewLease(running).Deadline)
+	if last = max(last, lastDeadline(f, running)); last > writtenOff {
 		t.Errorf("kept alive until %v after the write-off", last-writtenOff)
 	}
 }
 
-// TestClaimedRunIsRenewed guards against the lease staying bounded by a run that has been claimed.
+// TestClaimedRunIsRenewed guards against a lease that stays limited by a run which has been
+// claimed.
 func TestClaimedRunIsRenewed(t *testing.T) {
 	RegisterTestingT(t)
 	f := newFixture()
 	f.table.Identify(f.now, identity)
-	f.hold(nil)
-	f.hold([]runtable.ListedRun{{Ref: best}})
+	f.renewLease(nil)
+	f.renewLease([]runtable.ListedRun{{Ref: bestEffortRef}})
 	f.table.OwnerUp(f.now, owner, member)
 	f.heartbeat(7)
-	f.table.QueryRuns(f.now, owner, &wire.RunsQuery{Runs: []wire.RunRef{best}})
-	Expect(f.hold(nil).Deadline).To(Equal(f.clock() + f.cfg.BackendLease.D()))
-	f.passHolding(f.cfg.FirstLease.D() + f.cfg.StopGrace.D())
+	f.table.QueryRuns(f.now, owner, &wire.RunsQuery{Runs: []wire.RunRef{bestEffortRef}})
+	Expect(f.renewLease(nil).Deadline).To(Equal(f.clock() + f.cfg.BackendLease.D()))
+	f.passRenewing(f.cfg.FirstLease.D() + f.cfg.StopGrace.D())
 	e := f.take()
 	Expect(e.Stops).To(BeEmpty())
 	Expect(e.Notes).NotTo(ContainElement(HaveField("What", runtable.LeaseLapsing)))
 }
 
-// TestLeaseAskedForAfterASuspension guards against the first renewal after a suspension of the box
-// counting it on the backend server's clock, which may have stood still. The lease would last as
-// much longer than the worker believes.
-func TestLeaseAskedForAfterASuspension(t *testing.T) {
+// TestLeaseRequestedAfterSuspension guards against counting a suspension of the box on the
+// backend server's clock, which may have stood still, in the first renewal after it. The lease
+// would last longer than the worker assumes, by the length of the suspension.
+func TestLeaseRequestedAfterSuspension(t *testing.T) {
 	const suspended = 3 * time.Second
 	RegisterTestingT(t)
 	f := newFixture().ready()
-	f.hold(nil)
+	f.renewLease(nil)
 	clock := f.clock() // of a backend server that was suspended too
 	f.now = f.now.Add(suspended)
 	f.table.Resumed(f.now, suspended)
 	renewal, ok := f.table.NextRenewal(f.now)
 	Expect(ok).To(BeTrue())
 	if lease := renewal.Deadline - clock; lease > f.cfg.BackendLease.D() {
-		t.Errorf("asks for a lease of %v", lease)
+		t.Errorf("requests a lease of %v", lease)
 	}
 }
 
-// TestInheritedRunAfterASuspension guards against a run being told as ended that the next life of a
-// backend server may have, since a suspension of the box was counted on its lease.
+// TestInheritedRunAfterASuspension guards against reporting the end of a run that the next
+// incarnation of the backend server may have, because a suspension of the box was counted
+// against its lease.
 func TestInheritedRunAfterASuspension(t *testing.T) {
 	const suspended = 3 * time.Second
 	RegisterTestingT(t)
-	f := bornFixture(1000)
-	f.order(0, best)
+	f := restartingFixture(1000)
+	f.order(0, bestEffortRef)
 	call := f.take().Starts[0]
 	f.table.StartAnswered(f.now, call, runtable.StartUnknown)
-	Expect(f.refusedUntilGivenUp()).To(BeEmpty())
+	Expect(f.refuseUntilGivenUp()).To(BeEmpty())
 	f.now = f.now.Add(suspended)
 	f.table.Resumed(f.now, suspended)
 	f.heartbeat(7)
@@ -291,69 +298,71 @@
 	Expect(ends(f.take())).To(HaveLen(1))
 }
 
-// TestUnknownRunIsStopped guards against a best-effort run going on that the backend server lists
-// and the table does not know: nobody would end it.
+// TestUnknownRunIsStopped guards against a best-effort run that continues because the backend
+// server lists it and the table does not know it: nothing would end it.
 func TestUnknownRunIsStopped(t *testing.T) {
 	RegisterTestingT(t)
 	f := newFixture().ready()
-	listed := []runtable.ListedRun{{Ref: best}}
-	f.hold(listed)
-	f.hold(listed)
+	listed := []runtable.ListedRun{{Ref: bestEffortRef}}
+	f.renewLease(listed)
+	f.renewLease(listed)
 	stops := f.take().Stops
 	Expect(stops).To(HaveLen(1), "once for both lists")
 	Expect(stops[0].Incarnation()).To(Equal(identity.Incarnation()))
-	Expect(stops[0].Token).To(Equal(f.hold(nil).Token))
+	Expect(stops[0].Token).To(Equal(f.renewLease(nil).Token))
 	f.table.StopAnswered(f.now, stops[0], false)
 	f.pass(100 * time.Millisecond)
-	f.hold(listed)
+	f.renewLease(listed)
 	Expect(f.take().Stops).To(HaveLen(1), "while it is listed")
 	f.pass(100 * time.Millisecond)
-	f.hold(nil, runtable.ListedEnd{Number: 1, Ref: best, Valid: true, How: wire.EndStopped})
-	f.hold(listed) // of a list that was overtaken
+	f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: bestEffortRef, Valid: true, How: wire.EndStopped})
+	f.renewLease(listed) // from a delayed list
 	Expect(f.take().Stops).To(BeEmpty())
 }
 
-// TestOnlyUnknownRunsAreStopped guards against a list that was overtaken, or a kept run, having
-// something stopped.
+// TestOnlyUnknownRunsAreStopped guards against stopping a run because of a delayed list, and
+// against stopping the run of a durable job.
 func TestOnlyUnknownRunsAreStopped(t *testing.T) {
 	RegisterTestingT(t)
 	f := newFixture().ready()
-	f.order(0, best)
+	f.order(0, bestEffortRef)
 	call := f.take().Starts[0]
 	older, _ := f.table.NextRenewal(f.now)
-	listed := []runtable.ListedRun{{Ref: best}, {Ref: ref(1, 1)}}
-	f.hold(listed)
+	listed := []runtable.ListedRun{{Ref: bestEffortRef}, {Ref: ref(1, 1)}}
+	f.renewLease(listed)
 	f.table.StartAnswered(f.now, call, runtable.StartAccepted)
-	f.hold(nil, runtable.ListedEnd{Number: 1, Ref: best, Valid: true, How: wire.EndDone})
+	f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: bestEffortRef, Valid: true, How: wire.EndDone})
 	f.table.RenewAnswered(f.now, older, runtable.RenewAnswer{Result: runtable.RenewOK, Clock: f.clock(), Running: listed})
 	Expect(f.take().Stops).To(BeEmpty())
-	f.hold([]runtable.ListedRun{{Ref: ref(1, 1)}})
+	f.renewLease([]runtable.ListedRun{{Ref: ref(1, 1)}})
 	Expect(f.take().Stops).To(BeEmpty())
 }
 
-// TestStoppedOrderMeetsNextLife guards against a run being told as crashed while its order, of which
-// a stop is on its way, may meet the next life of a backend server that goes by the same ID.
-func TestStoppedOrderMeetsNextLife(t *testing.T) {
+// TestStoppedOrderReachesNextIncarnation guards against reporting a run as crashed while its
+// order, for which a stop is in transit, may reach the next incarnation of a backend server
+// whose instance ID is reused.
+func TestStoppedOrderReachesNextIncarnation(t *testing.T) {
 	RegisterTestingT(t)
-	f := bornFixture(1000)
-	f.order(0, best)
+	f := restartingFixture(1000)
+	f.order(0, bestEffortRef)
 	f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartUnknown)
-	f.passHolding(f.cfg.StartLimit.D() + time.Millisecond)
+	f.passRenewing(f.cfg.StartLimit.D() + time.Millisecond)
 	Expect(f.take().Stops).To(HaveLen(1))
 	f.heartbeat(7)
-	Expect(f.refusedUntilGivenUp()).To(BeEmpty(), "the order may be on its way")
-	f.live(2000)
+	Expect(f.refuseUntilGivenUp()).To(BeEmpty(), "the order may be on its way")
+	f.startIncarnation(2000)
 	Expect(f.take().Stops).To(HaveLen(1))
 }
 
-// TestAnsweredCopyMeetsNextLife guards against the same where one copy of the order was taken and
-// another has no answer.
-func TestAnsweredCopyMeetsNextLife(t *testing.T) {
+// TestAnsweredDuplicateReachesNextIncarnation guards against reporting a run as crashed while
+// one duplicate of its order has no answer, because the other was accepted. The unanswered one
+// may reach the next incarnation of a backend server whose instance ID is reused.
+func TestAnsweredDuplicateReachesNextIncarnation(t *testing.T) {
 	RegisterTestingT(t)
-	f := bornFixture(1000)
-	_, second := twoCopies(f)
+	f := restartingFixture(1000)
+	_, second := sendOrderTwice(f)
 	f.table.StartAnswered(f.now, second, runtable.StartAccepted)
-	Expect(f.refusedUntilGivenUp()).To(BeEmpty(), "the first copy may be on its way")
-	f.live(2000)
+	Expect(f.refuseUntilGivenUp()).To(BeEmpty(), "the first copy may be on its way")
+	f.startIncarnation(2000)
 	Expect(f.take().Stops).To(HaveLen(1))
 }
--- a/jobs/runtable/refused_test.go
+++ b/jobs/runtable/refused_test.go
@@ -10,17 +10,17 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// refused has the backend server refuse the connection of a renewal.
-func (f *fixture) refused() {
+// refuseRenewal has the backend server refuse the connection of a renewal.
+func (f *fixture) refuseRenewal() {
 	call, ok := f.table.NextRenewal(f.now)
 	ExpectWithOffset(1, ok).To(BeTrue())
 	f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewConnectionRefused})
 }
 
-// refusedUntilGivenUp has every connection refused until the life is given up, and returns the
-// ends that are told until then.
-func (f *fixture) refusedUntilGivenUp() []wire.RunEnd {
-	var told []wire.RunEnd
+// refuseUntilGivenUp refuses every connection until the incarnation is given up. It returns the
+// ends that are reported until then.
+func (f *fixture) refuseUntilGivenUp() []wire.RunEnd {
+	var reported []wire.RunEnd
 	for range 200 {
 		if call, ok := f.table.NextRenewal(f.now); ok {
 			f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewConnectionRefused})
@@ -28,30 +28,31 @@
 		f.heartbeat(7)
 		f.pass(10 * time.Millisecond)
 		e := f.take()
-		told = append(told, ends(e)...)
+		reported = append(reported, ends(e)...)
 		for _, n := range e.Notes {
 			if n.What == runtable.BackendLost {
-				return told
+				return reported
 			}
 		}
 	}
-	return told
+	return reported
 }
 
-// atWork is a table with a best-effort run that its backend server has begun.
-func atWork() *fixture {
+// runningFixture returns a table with a best-effort run that the backend server has started.
+func runningFixture() *fixture {
 	f := newFixture().ready()
-	f.order(0, best)
+	f.order(0, bestEffortRef)
 	f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
-	f.hold([]runtable.ListedRun{{Ref: best}})
+	f.renewLease([]runtable.ListedRun{{Ref: bestEffortRef}})
 	return f
 }
 
-// TestRefusedConnectionEndsNoRun guards against a task that runs twice since its worker calls a
-// backend server dead that refuses connections for a while and runs on.
+// TestRefusedConnectionEndsNoRun guards against a task that runs twice because its worker
+// reports its run as ended while the backend server refuses connections for a while and still
+// runs it.
 func TestRefusedConnectionEndsNoRun(t *testing.T) {
 	refusals := map[string]func(f *fixture){
-		"of a renewal": func(f *fixture) { f.refused() },
+		"of a renewal": func(f *fixture) { f.refuseRenewal() },
 		"of an order": func(f *fixture) {
 			f.order(0, ref(5, wire.BestEffortRun+1))
 			f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartConnectionRefused)
@@ -61,36 +62,36 @@
 	for name, refuse := range refusals {
 		t.Run(name, func(t *testing.T) {
 			RegisterTestingT(t)
-			f := atWork()
+			f := runningFixture()
 			refuse(f)
 			f.pass(300 * time.Millisecond)
 			e := f.take()
 			Expect(ends(e)).To(BeEmpty())
 			f.order(0, ref(6, wire.BestEffortRun+1))
 			Expect(how(ends(f.take())[0])).To(Equal(wire.EndNotRun), "it takes nothing meanwhile")
-			f.hold([]runtable.ListedRun{{Ref: best}})
-			f.hold(nil, runtable.ListedEnd{Number: 1, Ref: best, Valid: true, How: wire.EndDone})
+			f.renewLease([]runtable.ListedRun{{Ref: bestEffortRef}})
+			f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: bestEffortRef, Valid: true, How: wire.EndDone})
 			Expect(ends(f.take())).To(ConsistOf(HaveField("How", uint8(wire.EndDone))))
 		})
 	}
 }
 
-// TestRefusedConnectionsUntilTheLeaseIsOver guards against a task that waits for ever since its
-// backend server refuses connections: no run outlives the lease.
+// TestRefusedConnectionsUntilTheLeaseIsOver guards against a task that waits for ever because
+// its backend server refuses connections. No run outlives the lease.
 func TestRefusedConnectionsUntilTheLeaseIsOver(t *testing.T) {
 	RegisterTestingT(t)
-	f := atWork()
+	f := runningFixture()
 	over := f.now.Add(time.Duration(1.02 * float64(f.cfg.BackendLease)))
-	var told []wire.RunEnd
-	for len(told) == 0 && f.now.Before(over.Add(time.Second)) {
+	var reported []wire.RunEnd
+	for len(reported) == 0 && f.now.Before(over.Add(time.Second)) {
 		if call, ok := f.table.NextRenewal(f.now); ok {
 			f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewConnectionRefused})
 		}
-		f.beat(owner)
+		f.sendHeartbeat(owner)
 		f.pass(20 * time.Millisecond)
-		told = ends(f.take())
+		reported = ends(f.take())
 	}
-	Expect(told).To(ConsistOf(HaveField("How", uint8(wire.EndCrashed))))
+	Expect(reported).To(ConsistOf(HaveField("How", uint8(wire.EndCrashed))))
 	Expect(f.now).To(BeTemporally(">", over))
 	Expect(f.now).To(BeTemporally("<", over.Add(200*time.Millisecond)))
 	Expect(f.table.Identity().Ready).To(BeFalse(), "with nothing left there the life is given up")
--- a/jobs/runtable/reports_test.go
+++ b/jobs/runtable/reports_test.go
@@ -15,8 +15,8 @@
 		id.Instance = instance
 		return runtable.Report{Identity: id, Number: number}
 	}
-	// answer answers the question that is to be asked, which is about the instance.
-	answer := func(f *fixture, instance string, result runtable.RenewResult) {
+	// answerProbe answers the pending probe, which is about the instance.
+	answerProbe := func(f *fixture, instance string, result runtable.RenewResult) {
 		e := f.take()
 		ExpectWithOffset(1, e.Probe).NotTo(BeNil())
 		ExpectWithOffset(1, e.Probe.Instance).To(Equal(instance))
@@ -24,13 +24,14 @@
 		ExpectWithOffset(1, e.Probe.Deadline).To(BeZero())
 		f.table.ProbeAnswered(f.now, *e.Probe, result)
 	}
-	// second is a table whose backend server has crashed and is in its second life.
-	second := func() *fixture {
+	// restarted returns a table whose backend server has crashed and is in its second
+	// incarnation.
+	restarted := func() *fixture {
 		f := newFixture().ready()
 		f.table.Reported(f.now, report("i-2", 1))
-		answer(f, "i-2", runtable.RenewFenced)
-		f.hold(nil)
-		f.hold(nil)
+		answerProbe(f, "i-2", runtable.RenewFenced)
+		f.renewLease(nil)
+		f.renewLease(nil)
 		f.heartbeat(7)
 		f.take()
 		return f
@@ -43,18 +44,18 @@
 		f.take()
 	}
 
-	It("of a new life are believed once it has answered, and end all of the one before", func() {
+	It("of a new incarnation count once it has answered a probe, and end the runs of the previous one", func() {
 		f := newFixture().ready()
 		startOne(f)
 		f.table.Reported(f.now, report("i-2", 1))
 		Expect(f.table.Identity().Instance).To(Equal("i-1"))
-		answer(f, "i-2", runtable.RenewOK)
+		answerProbe(f, "i-2", runtable.RenewOK)
 		Expect(f.table.Identity().Instance).To(Equal("i-2"))
 		Expect(how(ends(f.take())[0])).To(Equal(wire.EndCrashed))
 	})
 
-	It("of a crashed life change nothing when they come late (hazard 63)", func() {
-		f := second()
+	It("of a crashed incarnation change nothing when they arrive late (hazard 63)", func() {
+		f := restarted()
 		startOne(f)
 		f.table.Reported(f.now, report("i-1", 9))
 		e := f.take()
@@ -65,19 +66,19 @@
 		Expect(f.take().Probe).To(BeNil(), "the living one is still known")
 	})
 
-	It("of a crashed life end nothing at a worker that has heard of neither", func() {
+	It("of a crashed incarnation end nothing at a worker that knows no incarnation yet", func() {
 		f := newFixture()
 		f.table.Reported(f.now, report("i-1", 9))
 		f.table.Reported(f.now, report("i-2", 1))
-		answer(f, "i-1", runtable.RenewWrongIncarnation)
-		answer(f, "i-2", runtable.RenewOK)
+		answerProbe(f, "i-1", runtable.RenewWrongIncarnation)
+		answerProbe(f, "i-2", runtable.RenewOK)
 		f.table.Reported(f.now, report("i-1", 8))
 		Expect(f.take().Probe).To(BeNil())
 		Expect(f.table.Identity().Instance).To(Equal("i-2"))
 	})
 
-	It("of one life count by their numbers, also for draining and capacity", func() {
-		f := second()
+	It("of one incarnation count in the order of their numbers, also for draining and capacity", func() {
+		f := restarted()
 		draining := report("i-2", 5)
 		draining.Ready = false
 		draining.Capacity = durable.Resources{CPU: 8000}
@@ -89,39 +90,39 @@
 		Expect(f.table.Identity().Ready).To(BeTrue())
 	})
 
-	It("count without numbers as they come", func() {
-		f := second()
+	It("without numbers count as they arrive", func() {
+		f := restarted()
 		draining := report("i-2", 0)
 		draining.Ready = false
 		f.table.Reported(f.now, draining)
 		Expect(f.table.Identity().Ready).To(BeFalse())
 	})
 
-	It("are asked about again while nothing answers, one life at a time", func() {
+	It("cause new probes while nothing answers, of one incarnation at a time", func() {
 		f := newFixture()
 		f.table.Reported(f.now, report("i-1", 3))
 		f.table.Reported(f.now, report("i-2", 1))
-		answer(f, "i-1", runtable.RenewUnanswered)
-		answer(f, "i-1", runtable.RenewConnectionRefused)
-		answer(f, "i-2", runtable.RenewUnanswered)
+		answerProbe(f, "i-1", runtable.RenewUnanswered)
+		answerProbe(f, "i-1", runtable.RenewConnectionRefused)
+		answerProbe(f, "i-2", runtable.RenewUnanswered)
 		f.table.Reported(f.now, report("i-1", 4))
-		answer(f, "i-2", runtable.RenewOK)
-		answer(f, "i-1", runtable.RenewWrongIncarnation)
+		answerProbe(f, "i-2", runtable.RenewOK)
+		answerProbe(f, "i-1", runtable.RenewWrongIncarnation)
 		Expect(f.table.Identity().Instance).To(Equal("i-2"))
 		Expect(f.take().Probe).To(BeNil())
 	})
 
-	It("of the life whose connection was refused are believed once it answers", func() {
+	It("of the incarnation whose connection was refused count once it answers", func() {
 		f := newFixture().ready()
 		call, _ := f.table.NextRenewal(f.now)
 		f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewConnectionRefused})
 		f.table.Reported(f.now, report("i-1", 9))
-		answer(f, "i-1", runtable.RenewOK)
+		answerProbe(f, "i-1", runtable.RenewOK)
 		Expect(f.table.Identity().Ready).To(BeTrue())
 	})
 
-	It("do not count after the life has said that it ends, but a late word of an earlier one does nothing", func() {
-		f := second()
+	It("do not count after the incarnation has announced its end; a late announcement of an earlier one changes nothing", func() {
+		f := restarted()
 		f.table.Deregistered(f.now, runtable.Incarnation{Instance: "i-1"})
 		Expect(f.table.Identity().Ready).To(BeTrue())
 		f.table.Deregistered(f.now, runtable.Incarnation{Instance: "i-2"})
--- a/jobs/runtable/restarted_test.go
+++ b/jobs/runtable/restarted_test.go
@@ -10,31 +10,32 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-var _ = Describe("a backend server that starts again under its ID", func() {
+var _ = Describe("a backend server that restarts under the same instance ID", func() {
 	const first, second = 1000, 2000
-	born := func(at int64) runtable.Identity {
+	identityBornAt := func(at int64) runtable.Identity {
 		id := identity
 		id.Born = at
 		return id
 	}
 	report := func(at int64, number uint64) runtable.Report {
-		return runtable.Report{Identity: born(at), Number: number}
+		return runtable.Report{Identity: identityBornAt(at), Number: number}
 	}
-	// ready is a table whose backend server is in its first life, after its tenth report.
+	// ready returns a table whose backend server is in its first incarnation, after its tenth
+	// report.
 	ready := func() *fixture {
 		f := newFixture()
 		f.table.Reported(f.now, report(first, 10))
 		f.table.ProbeAnswered(f.now, *f.take().Probe, runtable.RenewOK)
-		f.hold(nil)
-		f.hold(nil)
+		f.renewLease(nil)
+		f.renewLease(nil)
 		f.table.OwnerUp(f.now, owner, member)
 		f.heartbeat(7)
 		f.take()
 		return f
 	}
-	// reborn has the second life answer for the first, and report. It returns the ends that
-	// owners are told.
-	reborn := func(f *fixture) []wire.RunEnd {
+	// restart has the second incarnation answer a call for the first one, and report. It returns
+	// the ends that owners are sent.
+	restart := func(f *fixture) []wire.RunEnd {
 		call, ok := f.table.NextRenewal(f.now)
 		ExpectWithOffset(1, ok).To(BeTrue())
 		f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewRestarted})
@@ -47,13 +48,13 @@
 		return append(ends(e), ends(f.take())...)
 	}
 	sync := func(f *fixture, running ...runtable.ListedRun) {
-		f.hold(nil)
-		f.hold(running)
+		f.renewLease(nil)
+		f.renewLease(running)
 	}
 
-	It("is used again, though its reports are numbered from 1 again", func() {
+	It("is used again, although its reports are numbered from 1 again", func() {
 		f := ready()
-		reborn(f)
+		restart(f)
 		sync(f)
 		f.heartbeat(8)
 		f.take()
@@ -64,9 +65,9 @@
 		Expect(starts[0].Incarnation()).To(Equal(runtable.Incarnation{Instance: "i-1", Born: second}))
 	})
 
-	It("is not taken for the life before by a report of that one which comes late", func() {
+	It("is not mistaken for the previous incarnation because of a delayed report of that one", func() {
 		f := ready()
-		reborn(f)
+		restart(f)
 		f.table.Reported(f.now, report(first, 11))
 		if ask := f.take().Probe; ask != nil {
 			f.table.ProbeAnswered(f.now, *ask, runtable.RenewRestarted)
@@ -74,61 +75,61 @@
 		Expect(f.table.Identity().Born).To(BeEquivalentTo(second))
 	})
 
-	It("has no end acknowledged that it has not told", func() {
+	It("gets no acknowledgement of ends that it has not listed", func() {
 		f := ready()
 		f.order(7, ref(0, 1))
 		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
-		f.hold(nil, runtable.ListedEnd{Number: 9, Ref: ref(0, 1), Valid: true, How: wire.EndDone})
+		f.renewLease(nil, runtable.ListedEnd{Number: 9, Ref: ref(0, 1), Valid: true, How: wire.EndDone})
 		f.table.AcknowledgeEnds(f.now, owner, &wire.EndsKept{Runs: []wire.RunRef{ref(0, 1)}})
-		reborn(f)
+		restart(f)
 		call, ok := f.table.NextRenewal(f.now)
 		Expect(ok).To(BeTrue())
 		Expect(call.LastSeen).To(BeZero())
 		Expect(call.Deadline).To(BeZero(), "a lease by the clock of the life before")
 	})
 
-	It("stops a run that was ordered of the life before, before its owner hears of it", func() {
+	It("stops a run that was ordered from the previous incarnation before the owner is sent its end", func() {
 		f := ready()
 		f.order(7, ref(0, 1))
 		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
-		Expect(reborn(f)).To(BeEmpty(), "the second life may run it")
+		Expect(restart(f)).To(BeEmpty(), "the second life may run it")
 		sync(f, runtable.ListedRun{Ref: ref(0, 1)})
 		e := f.take()
 		Expect(ends(e)).To(BeEmpty())
 		Expect(e.Stops).To(HaveLen(1))
 		Expect(e.Stops[0].Incarnation()).To(Equal(runtable.Incarnation{Instance: "i-1", Born: second}))
 		f.table.StopAnswered(f.now, e.Stops[0], true)
-		f.hold(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndStopped})
+		f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndStopped})
 		Expect(f.table.Identity().Ready).To(BeTrue())
 	})
 
-	It("has the run called crashed once it is sure that the second life never had it", func() {
+	It("has the run reported as crashed once a list shows that the second incarnation never had it", func() {
 		f := ready()
 		f.order(7, ref(0, 1))
 		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
-		reborn(f)
+		restart(f)
 		sync(f)
 		e := f.take()
 		Expect(e.Stops).To(HaveLen(1))
 		f.table.StopAnswered(f.now, e.Stops[0], true)
-		f.hold(nil)
-		told := ends(f.take())
-		Expect(told).To(HaveLen(1))
-		Expect(how(told[0])).To(Equal(wire.EndCrashed))
-		Expect(told[0].Instance).To(Equal("i-1@1000"))
+		f.renewLease(nil)
+		reported := ends(f.take())
+		Expect(reported).To(HaveLen(1))
+		Expect(how(reported[0])).To(Equal(wire.EndCrashed))
+		Expect(reported[0].Instance).To(Equal("i-1@1000"))
 	})
 
-	It("has a run that the first life has listed called crashed at once", func() {
+	It("has a run that the first incarnation has listed reported as crashed at once", func() {
 		f := ready()
 		f.order(7, ref(0, 1))
 		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
-		f.hold([]runtable.ListedRun{{Ref: ref(0, 1)}})
-		told := reborn(f)
-		Expect(told).To(HaveLen(1))
-		Expect(how(told[0])).To(Equal(wire.EndCrashed))
+		f.renewLease([]runtable.ListedRun{{Ref: ref(0, 1)}})
+		reported := restart(f)
+		Expect(reported).To(HaveLen(1))
+		Expect(how(reported[0])).To(Equal(wire.EndCrashed))
 	})
 
-	It("has the run called crashed when no life is heard of for as long as it could run", func() {
+	It("has the run reported as crashed if no incarnation answers for as long as it could run", func() {
 		f := ready()
 		f.order(7, ref(0, 1))
 		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
@@ -140,10 +141,10 @@
 		Expect(ends(f.take())).To(HaveLen(1))
 	})
 
-	It("is called with a token above the one that it was called with by mistake", func() {
+	It("is called with a token above the one from calls that were meant for the previous incarnation", func() {
 		f := ready()
-		reborn(f)
-		clock := 5 * time.Millisecond // it has just begun
+		restart(f)
+		clock := 5 * time.Millisecond // it has just started
 		var token uint64
 		for range 20 {
 			call, ok := f.table.NextRenewal(f.now)
--- a/jobs/runtable/resumed_test.go
+++ b/jobs/runtable/resumed_test.go
@@ -17,14 +17,14 @@
 		f.table.Resumed(f.now, suspended)
 	}
 
-	It("hands back the orders that came before, since their owner's lease is over", func() {
+	It("hands back the orders that arrived before, since their owner's lease has expired", func() {
 		f := newFixture().ready()
 		resume(f)
 		f.order(7, ref(0, 1))
 		Expect(ends(f.take())[0].Reason).To(Equal("no_lease"))
 	})
 
-	It("calls nothing dead while the backend server's lease may last by a clock that stood still", func() {
+	It("reports no end while the backend server's lease may last on a clock that stood still", func() {
 		f := newFixture().ready()
 		f.order(7, ref(0, 1))
 		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
--- a/jobs/runtable/retired_test.go
+++ b/jobs/runtable/retired_test.go
@@ -8,7 +8,7 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-var _ = Describe("what a coordinator sent over a connection that it has replaced", func() {
+var _ = Describe("a message on a connection that its coordinator has replaced", func() {
 	const newer = "conn-2"
 	stamp := func(f *fixture, to string) int64 {
 		for _, s := range f.take().Sends {
@@ -18,7 +18,7 @@
 		}
 		return 0
 	}
-	// replaced is a table whose owner has made a new connection while the earlier one is
+	// replaced returns a table whose owner has opened a new connection while the earlier one is
 	// still open here.
 	replaced := func() *fixture {
 		f := newFixture().ready()
@@ -31,11 +31,11 @@
 		return f
 	}
 
-	DescribeTable("starts nothing, before or after a late heartbeat",
+	DescribeTable("starts nothing, before or after a delayed heartbeat",
 		func(ref wire.RunRef, heartbeat bool) {
 			f := replaced()
 			if heartbeat {
-				f.heartbeatOf(7, 1)
+				f.heartbeatEchoing(7, 1)
 			}
 			f.order(7, ref)
 			Expect(f.take().Starts).To(BeEmpty())
@@ -46,14 +46,14 @@
 		Entry("best-effort, after a heartbeat", ref(0, wire.BestEffortRun+1), true),
 	)
 
-	It("does not keep the newer connection from ordering", func() {
+	It("does not prevent orders on the newer connection", func() {
 		f := replaced()
-		f.heartbeatOf(7, 1)
+		f.heartbeatEchoing(7, 1)
 		f.table.Start(f.now, newer, &wire.StartRuns{Seq: 1, Runs: []wire.RunOrder{{Ref: ref(0, wire.BestEffortRun+1), BestEffort: true}}})
 		Expect(f.take().Starts).To(HaveLen(1))
 	})
 
-	It("asks about nothing and stops nothing", func() {
+	It("neither queries nor stops runs", func() {
 		f := replaced()
 		f.table.Start(f.now, newer, &wire.StartRuns{Seq: 1, Runs: []wire.RunOrder{{Ref: ref(0, wire.BestEffortRun+1), BestEffort: true}}})
 		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
--- a/jobs/runtable/runtable_test.go
+++ b/jobs/runtable/runtable_test.go
@@ -54,8 +54,8 @@
 	f.table.Tick(f.now)
 }
 
-// hold makes a hold that is answered with the lists.
-func (f *fixture) hold(running []runtable.ListedRun, ended ...runtable.ListedEnd) runtable.RenewCall {
+// renewLease makes a renewal that is answered with the given lists.
+func (f *fixture) renewLease(running []runtable.ListedRun, ended ...runtable.ListedEnd) runtable.RenewCall {
 	call, ok := f.table.NextRenewal(f.now)
 	Expect(ok).To(BeTrue())
 	f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewOK, Clock: f.clock(), Running: running, Ended: ended})
@@ -64,21 +64,21 @@
 
 func (f *fixture) clock() time.Duration { return f.now.Sub(time.Unix(0, 0)) }
 
-// ready brings the table to the point where orders are taken.
+// ready makes the table ready to take orders.
 func (f *fixture) ready() *fixture {
 	f.table.Identify(f.now, identity)
-	f.hold(nil)
-	f.hold(nil)
+	f.renewLease(nil)
+	f.renewLease(nil)
 	f.table.OwnerUp(f.now, owner, member)
 	f.heartbeat(7)
 	f.take()
 	return f
 }
 
-// passHolding lets time pass in which the backend server answers.
-func (f *fixture) passHolding(d time.Duration) {
+// passRenewing advances the time while the backend server answers renewals.
+func (f *fixture) passRenewing(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
-		f.hold(nil)
+		f.renewLease(nil)
 		f.pass(min(f.cfg.RenewWait.D(), end.Sub(f.now)))
 	}
 }
@@ -94,10 +94,10 @@
 		}
 	}
 	f.table.OwnerDown(f.now, "probe")
-	f.heartbeatOf(epoch, stamp)
+	f.heartbeatEchoing(epoch, stamp)
 }
 
-func (f *fixture) heartbeatOf(epoch uint64, stamp int64) {
+func (f *fixture) heartbeatEchoing(epoch uint64, stamp int64) {
 	f.table.Heartbeat(f.now, owner, &wire.OwnerHeartbeat{
 		Seq: f.seq, Echo: stamp,
 		Partitions: []wire.PartitionEpoch{{Partition: job.Partition(f.cfg.Partitions), Epoch: epoch}},
@@ -121,7 +121,7 @@
 	f.table.Start(f.now, owner, m)
 }
 
-// ends returns the ends that were told.
+// ends returns the ends that are sent to owners.
 func ends(e runtable.Effects) []wire.RunEnd {
 	var out []wire.RunEnd
 	for _, s := range e.Sends {
@@ -135,10 +135,10 @@
 func how(e wire.RunEnd) wire.End { return wire.End(e.How) }
 
 var _ = Describe("orders", func() {
-	It("of an owner that the store has not confirmed since this process began are handed back; what runs goes on", func() {
+	It("are handed back if the store has not confirmed the owner since this process started; runs continue", func() {
 		f := newFixture()
 		f.table.Identify(f.now, identity)
-		f.hold(nil)
+		f.renewLease(nil)
 		f.table.OwnerUp(f.now, owner, member)
 		claim := func(confirmed bool) {
 			var stamp int64
@@ -153,7 +153,7 @@
 			})
 		}
 		claim(false)
-		f.hold([]runtable.ListedRun{{Ref: ref(9, 1)}})
+		f.renewLease([]runtable.ListedRun{{Ref: ref(9, 1)}})
 		f.order(7, ref(0, 1))
 		e := f.take()
 		Expect(e.Starts).To(BeEmpty())
@@ -165,7 +165,7 @@
 		Expect(f.take().Starts).To(HaveLen(1))
 	})
 
-	It("are started as far as they fit, the others handed back at once, until there is room", func() {
+	It("are started as far as they fit; the others are handed back at once until there is capacity", func() {
 		f := newFixture().ready()
 		f.order(7, ref(0, 1), ref(1, 1), ref(2, 1))
 		e := f.take()
@@ -177,19 +177,19 @@
 		for _, c := range e.Starts {
 			f.table.StartAnswered(f.now, c, runtable.StartAccepted)
 		}
-		f.hold(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndDone})
+		f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndDone})
 		f.order(7, ref(2, 2))
 		Expect(f.take().Starts).To(HaveLen(1))
 	})
 
-	It("are handed back for a while when the backend server has less room than was thought", func() {
+	It("are handed back for a while after the backend server had less capacity than assumed", func() {
 		f := newFixture().ready()
 		f.order(7, ref(0, 1))
 		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartNoRoom)
 		f.take()
 		f.order(7, ref(1, 1))
 		Expect(ends(f.take())[0].Reason).To(Equal("busy"))
-		f.passHolding(20 * time.Millisecond)
+		f.passRenewing(20 * time.Millisecond)
 		f.order(7, ref(2, 1))
 		Expect(f.take().Starts).To(HaveLen(1))
 	})
@@ -201,19 +201,19 @@
 		for _, c := range f.take().Starts {
 			f.table.StartAnswered(f.now, c, runtable.StartAccepted)
 		}
-		f.passHolding(200 * time.Millisecond)
-		f.hold(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndDone})
+		f.passRenewing(200 * time.Millisecond)
+		f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndDone})
 		f.order(7, ref(2, 1))
 		third := f.take().Starts
 		Expect(third).To(HaveLen(1))
 		f.table.StartAnswered(f.now, third[0], runtable.StartAccepted)
-		f.passHolding(150 * time.Millisecond)
+		f.passRenewing(150 * time.Millisecond)
 		e := f.take()
 		Expect(e.Stops).To(HaveLen(1))
 		Expect(e.Stops[0].Ref).To(Equal(ref(1, 1)))
-		f.hold(nil, runtable.ListedEnd{Number: 2, Ref: ref(1, 1), Valid: true, How: wire.EndStopped})
-		told := ends(f.take())
-		Expect(how(told[len(told)-1])).To(Equal(wire.EndStraggled))
+		f.renewLease(nil, runtable.ListedEnd{Number: 2, Ref: ref(1, 1), Valid: true, How: wire.EndStopped})
+		reported := ends(f.take())
+		Expect(how(reported[len(reported)-1])).To(Equal(wire.EndStraggled))
 	})
 
 	It("are refused under an epoch that has been superseded", func() {
@@ -238,10 +238,10 @@
 		Expect(ends(e)[0].Reason).To(Equal("not_ready"))
 	})
 
-	It("are refused when the owner's lease is over, also if a heartbeat was long on its way", func() {
+	It("are refused after the owner's lease has expired, even if a delayed heartbeat arrives", func() {
 		f := newFixture().ready()
 		f.pass(f.cfg.OwnerLease.D() + time.Millisecond)
-		f.heartbeatOf(7, 1) // sent long ago: it echoes an early stamp
+		f.heartbeatEchoing(7, 1) // delayed: it echoes an early stamp
 		f.take()
 		f.order(7, ref(0, 1))
 		e := f.take()
@@ -249,7 +249,7 @@
 		Expect(ends(e)[0].Reason).To(Equal("no_lease"))
 	})
 
-	It("without an answer are repeated under their number, then sealed; only then are they not run", func() {
+	It("without an answer are resent under the same run number, then stopped; only then are they reported as not run", func() {
 		f := newFixture().ready()
 		f.order(7, ref(0, 1))
 		first := f.take().Starts[0]
@@ -257,9 +257,9 @@
 		again := f.take().Starts
 		Expect(again).To(HaveLen(1))
 		Expect(again[0].Ref).To(Equal(first.Ref))
-		f.passHolding(f.cfg.StartLimit.D() - time.Millisecond)
+		f.passRenewing(f.cfg.StartLimit.D() - time.Millisecond)
 		Expect(f.take().Stops).To(BeEmpty())
-		f.hold(nil)
+		f.renewLease(nil)
 		f.pass(2 * time.Millisecond)
 		e := f.take()
 		Expect(e.Stops).To(HaveLen(1))
@@ -269,13 +269,13 @@
 		f.table.StopAnswered(f.now, e.Stops[0], true)
 		f.table.RenewAnswered(f.now, earlier, runtable.RenewAnswer{Result: runtable.RenewOK, Clock: f.clock()})
 		Expect(ends(f.take())).To(BeEmpty(), "a list from before the seal may not show it yet")
-		f.hold(nil)
+		f.renewLease(nil)
 		Expect(how(ends(f.take())[0])).To(Equal(wire.EndNotRun))
 	})
 })
 
 var _ = Describe("an order that had no answer at first", func() {
-	It("is sealed, and not called not run, when its copy is refused", func() {
+	It("is stopped, and not reported as not run, when its duplicate is refused", func() {
 		f := newFixture().ready()
 		f.order(7, ref(0, 1))
 		first := f.take().Starts[0]
@@ -285,11 +285,11 @@
 		Expect(ends(e)).To(BeEmpty())
 		Expect(e.Stops).To(HaveLen(1))
 		f.table.StopAnswered(f.now, e.Stops[0], true)
-		f.hold(nil)
+		f.renewLease(nil)
 		Expect(how(ends(f.take())[0])).To(Equal(wire.EndNotRun))
 	})
 
-	It("ends with the life of a backend server to which nothing can be connected", func() {
+	It("ends with the incarnation when connections to the backend server are refused", func() {
 		f := newFixture().ready()
 		f.order(7, ref(0, 1))
 		call := f.take().Starts[0]
@@ -312,26 +312,26 @@
 		}
 	}
 
-	It("of kept jobs are forgotten only after they are kept, in their order", func() {
+	It("of durable jobs are acknowledged only after their owners have stored them, in order", func() {
 		f := newFixture().ready()
 		run(f, ref(0, 1), ref(1, 1))
-		f.hold(nil,
+		f.renewLease(nil,
 			runtable.ListedEnd{Number: 4, Ref: ref(0, 1), Valid: true, How: wire.EndDone},
 			runtable.ListedEnd{Number: 5, Ref: ref(1, 1), Valid: true, How: wire.EndDone})
 		Expect(ends(f.take())).To(HaveLen(2))
 		f.table.AcknowledgeEnds(f.now, owner, &wire.EndsKept{Runs: []wire.RunRef{ref(1, 1)}})
-		Expect(f.hold(nil).LastSeen).To(Equal(uint64(3)))
+		Expect(f.renewLease(nil).LastSeen).To(Equal(uint64(3)))
 		f.table.AcknowledgeEnds(f.now, owner, &wire.EndsKept{Runs: []wire.RunRef{ref(0, 1)}})
-		Expect(f.hold(nil).LastSeen).To(Equal(uint64(5)))
+		Expect(f.renewLease(nil).LastSeen).To(Equal(uint64(5)))
 	})
 
-	It("of best-effort jobs are forgotten at once, and remembered for a claim", func() {
+	It("of best-effort jobs are acknowledged at once, and remembered for later queries", func() {
 		f := newFixture().ready()
 		r := ref(0, wire.BestEffortRun+1)
 		run(f, r)
-		f.hold(nil, runtable.ListedEnd{Number: 1, Ref: r, Valid: true, How: wire.EndDone})
+		f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: r, Valid: true, How: wire.EndDone})
 		Expect(ends(f.take())).To(HaveLen(1))
-		Expect(f.hold(nil).LastSeen).To(Equal(uint64(1)))
+		Expect(f.renewLease(nil).LastSeen).To(Equal(uint64(1)))
 		f.table.QueryRuns(f.now, owner, &wire.RunsQuery{Runs: []wire.RunRef{r, ref(1, wire.BestEffortRun+1)}})
 		var answer *wire.PartitionRuns
 		for _, s := range f.take().Sends {
@@ -343,7 +343,7 @@
 		Expect(answer.Running).To(BeEmpty())
 	})
 
-	It("are all told when the backend server's life is over", func() {
+	It("are reported for all runs when the incarnation is over", func() {
 		f := newFixture().ready()
 		run(f, ref(0, 1))
 		next := identity
@@ -352,52 +352,52 @@
 		Expect(how(ends(f.take())[0])).To(Equal(wire.EndCrashed))
 	})
 
-	It("may be ordered by a coordinator whose connections came and went in another order", func() {
+	It("may be ordered by a coordinator whose connections came up and went down in another order", func() {
 		f := newFixture().ready()
-		f.table.OwnerUp(f.now, "older", member) // heard of later than the newer one
+		f.table.OwnerUp(f.now, "older", member) // it is accepted after the newer one
 		f.table.OwnerDown(f.now, "older")
-		f.passHolding(f.cfg.BestEffortLease.D() + 100*time.Millisecond)
-		f.heartbeat(7) // over the connection that lasts
+		f.passRenewing(f.cfg.BestEffortLease.D() + 100*time.Millisecond)
+		f.heartbeat(7) // on the connection that stays open
 		f.order(0, ref(0, wire.BestEffortRun+1))
 		Expect(f.take().Starts).To(HaveLen(1))
 	})
 
-	It("are forgotten by word of their owner alone", func() {
+	It("are acknowledged only if their owner has stored them", func() {
 		f := newFixture().ready()
 		run(f, ref(0, 1))
-		f.hold(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndDone})
+		f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndDone})
 		f.table.OwnerUp(f.now, "conn-2", "c1/1")
 		f.table.AcknowledgeEnds(f.now, "conn-2", &wire.EndsKept{Runs: []wire.RunRef{ref(0, 1)}})
-		Expect(f.hold(nil).LastSeen).To(BeZero())
+		Expect(f.renewLease(nil).LastSeen).To(BeZero())
 		f.table.AcknowledgeEnds(f.now, owner, &wire.EndsKept{Runs: []wire.RunRef{ref(0, 1)}})
-		Expect(f.hold(nil).LastSeen).To(BeEquivalentTo(1))
+		Expect(f.renewLease(nil).LastSeen).To(BeEquivalentTo(1))
 	})
 
-	It("come again under a new owner until they are kept", func() {
+	It("are reported to each new owner until they are stored", func() {
 		f := newFixture().ready()
 		run(f, ref(0, 1))
-		f.hold(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndDone})
+		f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndDone})
 		f.take()
 		f.heartbeat(9)
-		var told *wire.PartitionRuns
+		var reported *wire.PartitionRuns
 		for _, s := range f.take().Sends {
 			if m, ok := s.Message.(*wire.PartitionRuns); ok {
-				told = m
+				reported = m
 			}
 		}
-		Expect(told.Epoch).To(Equal(uint64(9)))
-		Expect(told.Ended).To(HaveLen(1))
+		Expect(reported.Epoch).To(Equal(uint64(9)))
+		Expect(reported.Ended).To(HaveLen(1))
 	})
 })
 
-var _ = Describe("an owner whose lease is over", func() {
-	It("has its runs stopped, and the lease let lapse if that does not help", func() {
+var _ = Describe("an owner whose lease has expired", func() {
+	It("has its runs stopped, and the backend server's lease lapses if that does not help", func() {
 		f := newFixture().ready()
 		f.order(7, ref(0, 1))
 		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
-		f.passHolding(f.cfg.OwnerLease.D() + time.Millisecond)
+		f.passRenewing(f.cfg.OwnerLease.D() + time.Millisecond)
 		Expect(f.take().Stops).To(HaveLen(1))
-		f.hold(nil)
+		f.renewLease(nil)
 		f.pass(f.cfg.StopGrace.D())
 		_, ok := f.table.NextRenewal(f.now)
 		Expect(ok).To(BeFalse(), "the lease must not be renewed")
@@ -409,7 +409,7 @@
 		Expect(ok).To(BeTrue())
 	})
 
-	It("keeps nothing alive of best-effort jobs past their callers' resend", func() {
+	It("keeps no run of a best-effort job alive until its caller sends the job again", func() {
 		f := newFixture().ready()
 		r := ref(0, wire.BestEffortRun+1)
 		f.order(0, r)
@@ -423,26 +423,26 @@
 })
 
 var _ = Describe("a backend server that is silent", func() {
-	// running has two runs, and a server that has just answered.
+	// running returns a table with two runs, whose backend server has just answered.
 	running := func() *fixture {
 		f := newFixture().ready()
 		f.order(7, ref(0, 1), ref(1, 1))
 		for _, c := range f.take().Starts {
 			f.table.StartAnswered(f.now, c, runtable.StartAccepted)
 		}
-		f.hold(nil)
+		f.renewLease(nil)
 		f.take()
 		return f
 	}
-	silence := func(f *fixture) time.Duration { return f.cfg.Core("dc").SilentAfter }
+	silentAfter := func(f *fixture) time.Duration { return f.cfg.Core("dc").SilentAfter }
 
 	It("gets no new tasks", func() {
 		f := running()
-		f.pass(silence(f) + time.Millisecond)
+		f.pass(silentAfter(f) + time.Millisecond)
 		f.take()
 		f.order(7, ref(3, 1))
 		Expect(ends(f.take())[0].Reason).To(Equal("not_ready"))
-		f.hold(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndDone})
+		f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndDone})
 		f.heartbeat(7)
 		f.take()
 		f.order(7, ref(4, 1))
@@ -455,26 +455,26 @@
 		f := newFixture().ready()
 		f.order(7, ref(0, 1))
 		first := f.take().Starts[0]
-		f.pass(silence(f) + time.Millisecond)
+		f.pass(silentAfter(f) + time.Millisecond)
 		f.table.StartAnswered(f.now, first, runtable.StartUnknown)
-		f.pass(f.cfg.StartLimit.D() - silence(f))
+		f.pass(f.cfg.StartLimit.D() - silentAfter(f))
 		e := f.take()
 		Expect(e.Starts).To(BeEmpty())
 		Expect(e.Stops).To(BeEmpty())
-		f.hold(nil)
+		f.renewLease(nil)
 		Expect(f.take().Starts).To(HaveLen(1))
 	})
 
-	It("has its lease renewed no further, and its runs end as soon as it is over", func() {
+	It("has its lease no longer extended, and its runs end as soon as the lease is over", func() {
 		f := running()
 		last, ok := f.table.NextRenewal(f.now)
 		Expect(ok).To(BeTrue())
-		f.pass(silence(f) + time.Millisecond)
+		f.pass(silentAfter(f) + time.Millisecond)
 		again, ok := f.table.NextRenewal(f.now)
 		Expect(ok).To(BeTrue())
 		Expect(again.Deadline).To(Equal(last.Deadline))
 		f.take()
-		f.pass(time.Duration(float64(f.cfg.BackendLease)*1.02) - silence(f) - 10*time.Millisecond)
+		f.pass(time.Duration(float64(f.cfg.BackendLease)*1.02) - silentAfter(f) - 10*time.Millisecond)
 		Expect(ends(f.take())).To(BeEmpty(), "they may run until then")
 		f.pass(100 * time.Millisecond)
 		var lapsed []wire.End
@@ -485,8 +485,8 @@
 	})
 })
 
-var _ = Describe("what runs were like", func() {
-	said := func(f *fixture) *wire.WorkerStatus {
+var _ = Describe("the outcomes of runs", func() {
+	statusOf := func(f *fixture) *wire.WorkerStatus {
 		f.heartbeat(7)
 		var s *wire.WorkerStatus
 		for _, m := range f.take().Sends {
@@ -501,32 +501,32 @@
 		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
 	}
 
-	It("is told by their time over the estimate, also of those that still run", func() {
+	It("give the slowness from run times over estimates, also of runs that have not ended", func() {
 		f := newFixture().ready()
 		f.estimate = 100
-		Expect(said(f).Slowness).To(BeEquivalentTo(100))
+		Expect(statusOf(f).Slowness).To(BeEquivalentTo(100))
 		run(f, 0)
-		f.passHolding(600 * time.Millisecond)
-		Expect(said(f).Slowness).To(BeEquivalentTo(112), "four times, for which one run counts at most, to the power of 0.08")
-		f.hold(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndDone})
-		Expect(said(f).Slowness).To(BeEquivalentTo(112))
+		f.passRenewing(600 * time.Millisecond)
+		Expect(statusOf(f).Slowness).To(BeEquivalentTo(112), "four times, for which one run counts at most, to the power of 0.08")
+		f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndDone})
+		Expect(statusOf(f).Slowness).To(BeEquivalentTo(112))
 		run(f, 1)
-		f.passHolding(100 * time.Millisecond)
-		Expect(said(f).Slowness).To(BeEquivalentTo(112), "a run that is young says nothing")
+		f.passRenewing(100 * time.Millisecond)
+		Expect(statusOf(f).Slowness).To(BeEquivalentTo(112), "a run that is young says nothing")
 	})
 
-	It("says soon that it is as fast as before, though few runs show it", func() {
+	It("show after a few runs that a server is as fast as before", func() {
 		f := newFixture().ready()
 		f.estimate = 100
-		slow := func() uint32 { return said(f).Slowness }
+		slowness := func() uint32 { return statusOf(f).Slowness }
 		number := uint64(0)
 		runFor := func(index uint32, d time.Duration) {
 			f.heartbeat(7)
 			run(f, index)
-			f.passHolding(d)
+			f.passRenewing(d)
 			f.heartbeat(7)
 			number++
-			f.hold(nil, runtable.ListedEnd{Number: number, Ref: ref(index, 1), Valid: true, How: wire.EndDone})
+			f.renewLease(nil, runtable.ListedEnd{Number: number, Ref: ref(index, 1), Valid: true, How: wire.EndDone})
 		}
 		for i := range uint32(20) {
 			runFor(i, 100*time.Millisecond)
@@ -534,31 +534,31 @@
 		for i := range uint32(12) {
 			runFor(20+i, 600*time.Millisecond)
 		}
-		Expect(slow()).To(BeNumerically(">", 220))
+		Expect(slowness()).To(BeNumerically(">", 220))
 		for i := range uint32(3) {
 			runFor(32+i, 100*time.Millisecond)
 		}
-		Expect(slow()).To(BeNumerically("<", 160))
+		Expect(slowness()).To(BeNumerically("<", 160))
 	})
 
-	It("is told by the share that failed, and forgotten with the life", func() {
+	It("give the share of failed runs, which is dropped with the incarnation", func() {
 		f := newFixture().ready()
 		run(f, 0)
-		f.hold(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndFailed})
-		Expect(said(f).Failing).To(BeEquivalentTo(20))
+		f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndFailed})
+		Expect(statusOf(f).Failing).To(BeEquivalentTo(20))
 		run(f, 1)
-		f.hold(nil, runtable.ListedEnd{Number: 2, Ref: ref(1, 1), Valid: true, How: wire.EndDone})
-		Expect(said(f).Failing).To(BeEquivalentTo(16))
+		f.renewLease(nil, runtable.ListedEnd{Number: 2, Ref: ref(1, 1), Valid: true, How: wire.EndDone})
+		Expect(statusOf(f).Failing).To(BeEquivalentTo(16))
 		next := identity
 		next.Instance = "i-2"
 		f.table.Identify(f.now, next)
-		Expect(said(f).Failing).To(BeZero())
+		Expect(statusOf(f).Failing).To(BeZero())
 	})
 })
 
 var _ = Describe("the progress of a run", func() {
 	const estimate = 200
-	// started is a table with one run of 200 ms by its estimate, of which the limit is 750.
+	// started returns a table with one run, which has an estimate of 200 ms and a limit of 750.
 	started := func() *fixture {
 		f := newFixture().ready()
 		f.estimate, f.limit = estimate, 750
@@ -566,39 +566,39 @@
 		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
 		return f
 	}
-	// tell lets time pass and then has the backend server tell how far the run has come.
-	tell := func(f *fixture, after time.Duration, percent int) runtable.Effects {
+	// list advances the time and then has the backend server list the run's progress.
+	list := func(f *fixture, after time.Duration, percent int) runtable.Effects {
 		f.pass(after)
-		f.hold([]runtable.ListedRun{{Ref: ref(0, 1), Percent: percent}})
+		f.renewLease([]runtable.ListedRun{{Ref: ref(0, 1), Percent: percent}})
 		f.pass(0)
 		return f.take()
 	}
 
-	It("has it stopped as soon as it would be over its limit at its pace", func() {
+	It("has it stopped as soon as its pace would exceed its limit", func() {
 		f := started()
-		Expect(tell(f, 30*time.Millisecond, 2).Stops).To(BeEmpty(), "too soon to tell")
-		Expect(tell(f, 40*time.Millisecond, 5).Stops).To(HaveLen(1), "1,400 ms at that pace")
-		f.hold(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndStopped})
+		Expect(list(f, 30*time.Millisecond, 2).Stops).To(BeEmpty(), "too soon to tell")
+		Expect(list(f, 40*time.Millisecond, 5).Stops).To(HaveLen(1), "1,400 ms at that pace")
+		f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndStopped})
 		Expect(how(ends(f.take())[0])).To(Equal(wire.EndStraggled))
 	})
 
-	It("has it stopped when it stands still, however far it has come", func() {
+	It("has it stopped when it stalls, however far it has come", func() {
 		f := started()
-		Expect(tell(f, 70*time.Millisecond, 35).Stops).To(BeEmpty())
-		Expect(tell(f, 70*time.Millisecond, 35).Stops).To(HaveLen(1))
+		Expect(list(f, 70*time.Millisecond, 35).Stops).To(BeEmpty())
+		Expect(list(f, 70*time.Millisecond, 35).Stops).To(HaveLen(1))
 	})
 
-	It("lets it go on that is no slower than its limit allows", func() {
+	It("lets it continue if it is no slower than its limit allows", func() {
 		f := started()
 		for i := range 6 {
-			Expect(tell(f, 70*time.Millisecond, 12*(i+1)).Stops).To(BeEmpty(), "583 ms at that pace")
+			Expect(list(f, 70*time.Millisecond, 12*(i+1)).Stops).To(BeEmpty(), "583 ms at that pace")
 		}
 	})
 
-	It("tells coordinators early that runs are slow", func() {
+	It("shows coordinators early that runs are slow", func() {
 		f := started()
 		f.heartbeat(7)
-		tell(f, 70*time.Millisecond, 10) // 700 ms, 3.5 times the estimate
+		list(f, 70*time.Millisecond, 10) // 700 ms in all, 3.5 times the estimate
 		f.heartbeat(7)
 		var slowness uint32
 		for _, s := range f.take().Sends {
@@ -609,13 +609,13 @@
 		Expect(slowness).To(BeEquivalentTo(111), "3.5 to the power of 0.08")
 	})
 
-	It("says nothing where the backend server tells none, or an older list comes later", func() {
+	It("is ignored if the backend server reports none, or an older list arrives later", func() {
 		f := started()
-		Expect(tell(f, 70*time.Millisecond, 0).Stops).To(BeEmpty())
-		Expect(tell(f, 70*time.Millisecond, 0).Stops).To(BeEmpty())
+		Expect(list(f, 70*time.Millisecond, 0).Stops).To(BeEmpty())
+		Expect(list(f, 70*time.Millisecond, 0).Stops).To(BeEmpty())
 		g := started()
 		older, _ := g.table.NextRenewal(g.now)
-		Expect(tell(g, 70*time.Millisecond, 35).Stops).To(BeEmpty())
+		Expect(list(g, 70*time.Millisecond, 35).Stops).To(BeEmpty())
 		g.pass(70 * time.Millisecond)
 		g.table.RenewAnswered(g.now, older, runtable.RenewAnswer{Result: runtable.RenewOK, Clock: g.clock(), Running: []runtable.ListedRun{{Ref: ref(0, 1), Percent: 1}}})
 		g.pass(0)
@@ -635,20 +635,20 @@
 		f := newFixture().ready()
 		f.order(7, ref(0, 1))
 		start := f.take().Starts[0]
-		Expect(f.hold([]runtable.ListedRun{{Ref: ref(0, 1)}}).Wait).To(Equal(f.cfg.CalmRenewWait.D()))
+		Expect(f.renewLease([]runtable.ListedRun{{Ref: ref(0, 1)}}).Wait).To(Equal(f.cfg.CalmRenewWait.D()))
 		f.table.StartAnswered(f.now, start, runtable.StartUnknown)
-		Expect(f.hold(nil).Wait).To(Equal(f.cfg.RenewWait.D()))
+		Expect(f.renewLease(nil).Wait).To(Equal(f.cfg.RenewWait.D()))
 		for range 9 {
-			f.passHolding(500 * time.Millisecond)
+			f.passRenewing(500 * time.Millisecond)
 			f.heartbeat(7)
-			Expect(f.hold(nil).Wait).To(Equal(f.cfg.RenewWait.D()))
+			Expect(f.renewLease(nil).Wait).To(Equal(f.cfg.RenewWait.D()))
 		}
-		f.passHolding(500 * time.Millisecond)
+		f.passRenewing(500 * time.Millisecond)
 		f.heartbeat(7)
-		Expect(f.hold(nil).Wait).To(Equal(f.cfg.CalmRenewWait.D()), "since all have been answered for long")
+		Expect(f.renewLease(nil).Wait).To(Equal(f.cfg.CalmRenewWait.D()), "since all have been answered for long")
 	})
 
-	It("have another made beside them when they are overdue, and count once if they are lost", func() {
+	It("are followed by another when overdue, and count once as unanswered if they are lost", func() {
 		f := newFixture().ready()
 		first, _ := f.table.NextRenewal(f.now)
 		Expect(first.OverdueAfter).To(Equal(f.cfg.RenewPatience.D()))
@@ -660,19 +660,19 @@
 		third, _ := f.table.NextRenewal(f.now)
 		Expect(third.Limit).To(Equal(second.Limit), "it was counted when it was overdue")
 		f.table.RenewAnswered(f.now, second, runtable.RenewAnswer{Result: runtable.RenewOK, Clock: f.clock()})
-		Expect(f.hold(nil).Wait).NotTo(BeZero())
+		Expect(f.renewLease(nil).Wait).NotTo(BeZero())
 	})
 
-	It("are not overdue that have been answered already", func() {
+	It("are not overdue if they have been answered", func() {
 		f := newFixture().ready()
-		call := f.hold(nil)
+		call := f.renewLease(nil)
 		f.table.RenewOverdue(call)
 		next, _ := f.table.NextRenewal(f.now)
 		Expect(next.Wait).To(Equal(f.cfg.CalmRenewWait.D()))
 		Expect(next.Limit).To(Equal(f.cfg.RenewLimit.D()))
 	})
 
-	It("may be answered in any order: an older list brings no end again and hides no run", func() {
+	It("may be answered in any order: an older list repeats no end and hides no run", func() {
 		f := newFixture().ready()
 		f.order(7, ref(0, 1), ref(1, 1))
 		for _, c := range f.take().Starts {
@@ -681,7 +681,7 @@
 		older, _ := f.table.NextRenewal(f.now)
 		f.table.RenewOverdue(older)
 		end := runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndDone}
-		f.hold([]runtable.ListedRun{{Ref: ref(1, 1)}}, end)
+		f.renewLease([]runtable.ListedRun{{Ref: ref(1, 1)}}, end)
 		Expect(ends(f.take())).To(HaveLen(1))
 		f.table.RenewAnswered(f.now, older, runtable.RenewAnswer{
 			Result: runtable.RenewOK, Clock: f.clock() - time.Second, Ended: []runtable.ListedEnd{end},
@@ -689,52 +689,52 @@
 		})
 		e := f.take()
 		Expect(ends(e)).To(BeEmpty())
-		f.hold([]runtable.ListedRun{{Ref: ref(1, 1)}}, runtable.ListedEnd{Number: 2, Ref: ref(1, 1), Valid: true, How: wire.EndDone})
+		f.renewLease([]runtable.ListedRun{{Ref: ref(1, 1)}}, runtable.ListedEnd{Number: 2, Ref: ref(1, 1), Valid: true, How: wire.EndDone})
 		Expect(ends(f.take())).To(HaveLen(1))
 	})
 
-	It("wait long while nothing runs, whatever went unanswered", func() {
+	It("wait long while nothing runs, even after an unanswered call", func() {
 		f := newFixture().ready()
 		unanswered(f)
-		f.hold(nil)
-		Expect(f.hold(nil).Wait).To(Equal(f.cfg.CalmRenewWait.D()))
+		f.renewLease(nil)
+		Expect(f.renewLease(nil).Wait).To(Equal(f.cfg.CalmRenewWait.D()))
 	})
 
-	It("ask at once after one that had no answer, and give the next ones more time", func() {
+	It("do not wait after an unanswered one, and have more time to be answered", func() {
 		f := newFixture().ready()
 		Expect(unanswered(f).Limit).To(Equal(f.cfg.RenewLimit.D()))
 		second := unanswered(f)
 		Expect(second.Wait).To(BeZero())
 		Expect(second.Limit).To(Equal(2 * f.cfg.RenewLimit.D()))
 		Expect(unanswered(f).Limit).To(Equal(f.cfg.CallLimit.D()), "and no more than any call has")
-		f.hold(nil)
-		Expect(f.hold(nil).Limit).To(Equal(f.cfg.RenewLimit.D()))
+		f.renewLease(nil)
+		Expect(f.renewLease(nil).Limit).To(Equal(f.cfg.RenewLimit.D()))
 	})
 })
 
-var _ = Describe("a process after another", func() {
-	It("takes a fencing token above that of the earlier one", func() {
+var _ = Describe("a process that replaces an earlier one", func() {
+	It("uses a fencing token above that of the earlier one", func() {
 		f := newFixture()
 		f.table.Identify(f.now, identity)
-		first := f.hold(nil)
+		first := f.renewLease(nil)
 		Expect(first.Token).To(BeZero())
-		second := f.hold(nil)
+		second := f.renewLease(nil)
 		Expect(second.Token).To(Equal(uint64(f.clock().Milliseconds())))
 
 		f.now = f.now.Add(time.Second)
 		successor := newFixture()
 		successor.now = f.now
 		successor.table.Identify(f.now, identity)
-		successor.hold(nil)
-		Expect(successor.hold(nil).Token).To(BeNumerically(">", second.Token))
+		successor.renewLease(nil)
+		Expect(successor.renewLease(nil).Token).To(BeNumerically(">", second.Token))
 	})
 
-	It("adopts what runs, and stops best-effort runs that nobody claims", func() {
+	It("adopts the runs, and stops best-effort runs that nobody claims", func() {
 		f := newFixture()
 		f.table.Identify(f.now, identity)
-		f.hold(nil)
+		f.renewLease(nil)
 		r := ref(0, wire.BestEffortRun+1)
-		f.hold([]runtable.ListedRun{{Ref: r}})
+		f.renewLease([]runtable.ListedRun{{Ref: r}})
 		f.pass(f.cfg.FirstLease.D() + time.Millisecond)
 		e := f.take()
 		Expect(e.Stops).To(HaveLen(1))
--- a/jobs/runtable/silenced_test.go
+++ b/jobs/runtable/silenced_test.go
@@ -10,50 +10,51 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-var _ = Describe("a backend server that falls silent for good", func() {
-	// silenced is a table whose backend server answers nothing until its lease is over.
-	silenced := func(f *fixture) []wire.RunEnd {
+var _ = Describe("a backend server that stays silent", func() {
+	// silentUntilLapse has the backend server answer nothing until its lease is over. It returns
+	// the ends that are reported.
+	silentUntilLapse := func(f *fixture) []wire.RunEnd {
 		f.orderSuspects(1, 0)
-		var told []wire.RunEnd
+		var reported []wire.RunEnd
 		for range 60 {
 			f.pass(f.cfg.RenewWait.D())
-			f.heartbeatOf(7, f.now.Sub(time.Unix(1000, 0)).Microseconds())
-			told = append(told, ends(f.take())...)
+			f.heartbeatEchoing(7, f.now.Sub(time.Unix(1000, 0)).Microseconds())
+			reported = append(reported, ends(f.take())...)
 		}
-		return told
+		return reported
 	}
 
-	It("may have crashed: the lapsed run is told with the life that it was on", func() {
-		Expect(silenced(newFixture().ready())).To(ConsistOf(And(HaveField("How", uint8(wire.EndLapsed)), HaveField("Instance", "i-1"))))
+	It("may have crashed: the end of the lapsed run names the incarnation", func() {
+		Expect(silentUntilLapse(newFixture().ready())).To(ConsistOf(And(HaveField("How", uint8(wire.EndLapsed)), HaveField("Instance", "i-1"))))
 	})
 
-	It("has crashed when another life is there that it had not announced", func() {
+	It("has crashed if another incarnation is in force and it had not announced its end", func() {
 		f := newFixture().ready()
-		silenced(f)
+		silentUntilLapse(f)
 		f.heartbeat(7)
-		f.nextLife()
+		f.nextIncarnation()
 		Expect(ends(f.out)).To(BeEmpty())
 		Expect(ends(f.take())).To(ConsistOf(And(HaveField("How", uint8(wire.EndCrashed)), HaveField("Instance", "i-1"), HaveField("Begun", true))))
-		Expect(f.reports("conn-2", 8)).To(ConsistOf(HaveField("How", uint8(wire.EndCrashed))))
+		Expect(f.partitionReport("conn-2", 8)).To(ConsistOf(HaveField("How", uint8(wire.EndCrashed))))
 	})
 
-	It("has not crashed when it answers again", func() {
+	It("has not crashed if it answers again", func() {
 		f := newFixture().ready()
-		silenced(f)
-		f.hold(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndLapsed})
+		silentUntilLapse(f)
+		f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndLapsed})
 		f.take()
-		f.nextLife()
+		f.nextIncarnation()
 		Expect(ends(f.take())).To(BeEmpty())
 	})
 
-	It("had not crashed when it had said that it would leave", func() {
+	It("has not crashed if it had announced its end", func() {
 		f := newFixture().ready()
 		leaving := identity
 		leaving.Ready = false
-		silenced(f)
-		f.table.Identify(f.now, leaving) // its last word came late
+		silentUntilLapse(f)
+		f.table.Identify(f.now, leaving) // its last announcement arrived late
 		f.take()
-		f.nextLife()
+		f.nextIncarnation()
 		Expect(ends(f.take())).To(BeEmpty())
 	})
 })
--- a/jobs/runtable/unasked_test.go
+++ b/jobs/runtable/unasked_test.go
@@ -14,40 +14,42 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// play is a table with some coordinators of best-effort jobs, none of which asks for room.
-type play struct {
+// scenario is a table with some coordinators of best-effort jobs, none of which requests
+// capacity.
+type scenario struct {
 	table   *runtable.Table
 	now     time.Time
 	rnd     *rand.Rand
 	out     strings.Builder
-	seq     uint64 // of messages, runs and ends alike
+	seq     uint64 // of messages, runs and ends
 	running []wire.RunRef
 	stamps  map[string]int64
 }
 
-// TestNobodyAsks holds each message of a worker to three coordinators, in its order, through
-// orders that fit and do not, ends, a smaller server, a drain and another life.
-func TestNobodyAsks(t *testing.T) {
+// TestMessagesWithoutCapacityRequests compares all messages of a worker to three coordinators
+// with the golden file: through orders that fit and do not fit, ends, a smaller capacity, a
+// drain and another incarnation.
+func TestMessagesWithoutCapacityRequests(t *testing.T) {
 	cfg := config.DefaultRuns()
-	p := &play{now: time.Unix(1000, 0), rnd: rand.New(rand.NewPCG(1, 2)), stamps: make(map[string]int64)}
+	p := &scenario{now: time.Unix(1000, 0), rnd: rand.New(rand.NewPCG(1, 2)), stamps: make(map[string]int64)}
 	p.table = runtable.New(cfg.Core("dc"), p.now)
 	p.table.Identify(p.now, identity)
-	p.hold()
-	p.hold()
+	p.renewLease()
+	p.renewLease()
 	owners := []string{"a", "b", "c"}
 	for _, o := range owners {
 		p.table.OwnerUp(p.now, o, "member-"+o)
 	}
-	p.perform()
+	p.record()
 	for i := range 400 {
 		p.now = p.now.Add(time.Duration(p.rnd.IntN(15)) * time.Millisecond)
 		p.step(i, owners[p.rnd.IntN(len(owners))])
-		p.perform()
+		p.record()
 	}
 	golden.Check(t, "nobody-asks.golden", p.out.String())
 }
 
-func (p *play) step(i int, owner string) {
+func (p *scenario) step(i int, owner string) {
 	p.seq++
 	fmt.Fprintf(&p.out, "%d\n", i)
 	switch {
@@ -63,7 +65,7 @@
 	case i%4 == 0:
 		p.table.Heartbeat(p.now, owner, &wire.OwnerHeartbeat{Seq: p.seq, Echo: p.stamps[owner]})
 	case p.rnd.IntN(2) == 0:
-		p.hold()
+		p.renewLease()
 	default:
 		r := ref(uint32(i), wire.BestEffortRun+uint32(p.seq))
 		p.table.Start(p.now, owner, &wire.StartRuns{Seq: p.seq, Runs: []wire.RunOrder{{Ref: r, BestEffort: true, Need: durable.Resources{CPU: 1500}}}})
@@ -71,8 +73,9 @@
 	p.table.Tick(p.now)
 }
 
-// hold renews the backend server's lease, with the end of a run in the answer if there is one.
-func (p *play) hold() {
+// renewLease renews the backend server's lease, with the end of a run in the answer if there is
+// one.
+func (p *scenario) renewLease() {
 	call, ok := p.table.NextRenewal(p.now)
 	if !ok {
 		return
@@ -86,8 +89,8 @@
 	p.table.RenewAnswered(p.now, call, a)
 }
 
-// perform writes down what the table sends, and answers its starts.
-func (p *play) perform() {
+// record writes down what the table sends, and accepts its starts.
+func (p *scenario) record() {
 	e := p.table.Take(p.now)
 	for _, s := range e.Sends {
 		fmt.Fprintf(&p.out, "  %s %s %s\n", s.Owner, s.Message.WireKind(), summary(s.Message))
@@ -101,7 +104,7 @@
 	}
 }
 
-// summary returns what a message says of room and of runs.
+// summary returns the fields of a message that concern capacity and runs.
 func summary(m wire.Message) string {
 	switch m := m.(type) {
 	case *wire.WorkerStatus:
