--- a/config/copies.go
+++ b/config/copies.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/lichenfall/lichenfall/jobs/copies"
+	"github.com/lichenfall/lichenfall/jobs/dedup"
 )
 
 // Copies is the section on best-effort jobs that come to several coordinators.
@@ -30,6 +30,6 @@
 }
 
 // Core returns the settings of a table of copies, where the scheduler's leases are those given.
-func (c *Copies) Core(s *Scheduler) copies.Settings {
-	return copies.Settings{ResendAfter: c.ResendAfter.D(), RunsEnd: s.writeOff(s.BestEffortLease), Greeting: c.Greeting.D()}
+func (c *Copies) Core(s *Scheduler) dedup.Settings {
+	return dedup.Settings{ResendAfter: c.ResendAfter.D(), RunsEnd: s.writeOff(s.BestEffortLease), Greeting: c.Greeting.D()}
 }
--- a/jobs/coordinator/announce.go
+++ b/jobs/coordinator/announce.go
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/lichenfall/lichenfall/jobs/copies"
+	"github.com/lichenfall/lichenfall/jobs/dedup"
 	"github.com/lichenfall/lichenfall/jobs/durable"
 	"github.com/lichenfall/lichenfall/wire"
 )
@@ -74,7 +74,7 @@
 
 // announcementHeard takes what another coordinator has. It replaces all that it
 // said before.
-func (c *Coordinator) announcementHeard(now time.Time, from copies.Peer, m *wire.QueueCounts) {
+func (c *Coordinator) announcementHeard(now time.Time, from dedup.Peer, m *wire.QueueCounts) {
 	counts := make(map[string]uint32, len(m.Counts))
 	for _, q := range m.Counts {
 		counts[q.Queue] = q.Jobs
@@ -106,7 +106,7 @@
 // may have sent them again, to one that has not heard of them.
 func (c *Coordinator) giveUpUntold(now time.Time) {
 	old := c.core.BestEffortOlderThan(now, c.copies.Settings().TooLate())
-	for _, id := range copies.Late(old, c.announced.BestEffort) {
+	for _, id := range dedup.Late(old, c.announced.BestEffort) {
 		c.core.GiveUpUntold(now, id)
 	}
 }
--- a/jobs/coordinator/coordinator.go
+++ b/jobs/coordinator/coordinator.go
@@ -19,7 +19,7 @@
 	"go.uber.org/zap"
 
 	"github.com/lichenfall/lichenfall/config"
-	"github.com/lichenfall/lichenfall/jobs/copies"
+	"github.com/lichenfall/lichenfall/jobs/dedup"
 	"github.com/lichenfall/lichenfall/jobs/ownership"
 	"github.com/lichenfall/lichenfall/jobs/routing"
 	"github.com/lichenfall/lichenfall/jobs/scheduler"
@@ -52,9 +52,9 @@
 	links       map[string]*link              // to workers and other coordinators, by address
 	inbound     inboundConns                  // from other coordinators
 	remote      map[uint32]route              // partitions of other coordinators
-	copies      *copies.Table                 // best-effort jobs that others have
+	copies      *dedup.Table                  // best-effort jobs that others have
 	early       []*call                       // best-effort jobs that wait until others have told what they have
-	lateness    copies.Lateness               // for how long calls may have waited for us
+	lateness    dedup.Lateness                // for how long calls may have waited for us
 	calls       map[scheduler.Call]*call      // in our core
 	forwarded   map[uint64]*call              // passed on, by their number
 	nextCall    uint64
@@ -148,7 +148,7 @@
 		links:       make(map[string]*link),
 		inbound:     newInboundConns(),
 		remote:      make(map[uint32]route),
-		copies:      copies.New(cfg.Copies.Core(&cfg.Scheduler)),
+		copies:      dedup.New(cfg.Copies.Core(&cfg.Scheduler)),
 		calls:       make(map[scheduler.Call]*call),
 		forwarded:   make(map[uint64]*call),
 		counts:      make(map[string]map[string]uint32),
--- a/jobs/coordinator/links.go
+++ b/jobs/coordinator/links.go
@@ -7,7 +7,7 @@
 	"github.com/zeebo/errs"
 	"go.uber.org/zap"
 
-	"github.com/lichenfall/lichenfall/jobs/copies"
+	"github.com/lichenfall/lichenfall/jobs/dedup"
 	"github.com/lichenfall/lichenfall/lib/peer"
 	"github.com/lichenfall/lichenfall/wire"
 )
@@ -133,7 +133,7 @@
 	case *wire.JobReply:
 		c.forwardAnswered(m)
 	case *wire.QueueCounts:
-		c.announcementHeard(now, copies.Peer{Address: e.address, Process: e.conn.Peer().Incarnation}, m)
+		c.announcementHeard(now, dedup.Peer{Address: e.address, Process: e.conn.Peer().Incarnation}, m)
 	case *wire.CrashNews:
 		c.core.HearCrashes(now, m)
 	case *wire.HandOver:
--- a/jobs/copies/copies.go
+++ b/jobs/dedup/dedup.go
@@ -1,4 +1,4 @@
-// Package copies decides where a best-effort job runs whose caller has sent it to several
+// Package dedup decides where a best-effort job runs whose caller has sent it to several
 // coordinators, one after the other.
 //
 // A caller without an answer sends its job again, to any coordinator, Settings.ResendAfter after
@@ -8,7 +8,7 @@
 //
 // It owns what other coordinators have said of their jobs. It relies on its caller for the time,
 // for the words of others and the state of the links to them. It does no I/O and reads no clock.
-package copies
+package dedup
 
 import (
 	"slices"
--- a/jobs/copies/copies_test.go
+++ b/jobs/dedup/dedup_test.go
@@ -1,4 +1,4 @@
-package copies_test
+package dedup_test
 
 import (
 	"testing"
@@ -7,35 +7,35 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/lichenfall/lichenfall/jobs/copies"
+	"github.com/lichenfall/lichenfall/jobs/dedup"
 	"github.com/lichenfall/lichenfall/jobs/durable"
 )
 
 func TestCopies(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "copies")
+	RunSpecs(t, "dedup")
 }
 
 const job durable.JobID = "00000000000000aa"
 
 var (
-	settings = copies.Settings{ResendAfter: 1300 * time.Millisecond, RunsEnd: 2120 * time.Millisecond, Greeting: 400 * time.Millisecond}
+	settings = dedup.Settings{ResendAfter: 1300 * time.Millisecond, RunsEnd: 2120 * time.Millisecond, Greeting: 400 * time.Millisecond}
 	start    = time.Unix(1000, 0)
-	first    = copies.Peer{Address: "10.0.0.1:7720", Process: "a"}
-	again    = copies.Peer{Address: "10.0.0.1:7720", Process: "b"}
+	first    = dedup.Peer{Address: "10.0.0.1:7720", Process: "a"}
+	again    = dedup.Peer{Address: "10.0.0.1:7720", Process: "b"}
 )
 
 // after returns the time so many milliseconds from the start.
 func after(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func holds(t *copies.Table, ms int) bool {
+func holds(t *dedup.Table, ms int) bool {
 	_, held := t.Holder(after(ms), job)
 	return held
 }
 
 var _ = Describe("a job of another coordinator", func() {
-	var t *copies.Table
-	BeforeEach(func() { t = copies.New(settings) })
+	var t *dedup.Table
+	BeforeEach(func() { t = dedup.New(settings) })
 
 	It("is with whoever has said last that it has it", func() {
 		Expect(holds(t, 0)).To(BeFalse())
@@ -97,18 +97,18 @@
 
 var _ = Describe("a coordinator that has just begun", func() {
 	It("waits for the words of those that were there before, for a while", func() {
-		t := copies.New(settings)
+		t := dedup.New(settings)
 		Expect(t.Greeted(after(5000))).To(BeFalse(), "nobody has been read of")
 		t.Known(start, []string{first.Address, "10.0.0.2:7720"})
 		t.Heard(after(100), first, nil)
 		Expect(t.Greeted(after(100))).To(BeFalse())
 		Expect(t.Greeted(after(400))).To(BeTrue())
-		t.Heard(after(200), copies.Peer{Address: "10.0.0.2:7720"}, nil)
+		t.Heard(after(200), dedup.Peer{Address: "10.0.0.2:7720"}, nil)
 		Expect(t.Greeted(after(200))).To(BeTrue())
 	})
 
 	It("waits for nobody where it is alone, or who has spoken already", func() {
-		t := copies.New(settings)
+		t := dedup.New(settings)
 		t.Heard(start, first, nil)
 		t.Known(start, []string{first.Address})
 		Expect(t.Greeted(start)).To(BeTrue())
@@ -122,7 +122,7 @@
 		Expect(settings.TellAfter()).To(BeNumerically("<", settings.TooLate()))
 		Expect(settings.TooLate()).To(BeNumerically("<", settings.ResendAfter))
 		old := []durable.JobID{"1", "2", "3"}
-		Expect(copies.Late(old, []durable.JobID{"1", "3", "4"})).To(Equal([]durable.JobID{"2"}))
-		Expect(copies.Late(nil, old)).To(BeEmpty())
+		Expect(dedup.Late(old, []durable.JobID{"1", "3", "4"})).To(Equal([]durable.JobID{"2"}))
+		Expect(dedup.Late(nil, old)).To(BeEmpty())
 	})
 })
--- a/jobs/copies/lateness.go
+++ b/jobs/dedup/stall.go
@@ -1,4 +1,4 @@
-package copies
+package dedup
 
 import "time"
 
--- a/jobs/promises/peers_test.go
+++ b/jobs/promises/peers_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/lichenfall/lichenfall/jobs/copies"
+	"github.com/lichenfall/lichenfall/jobs/dedup"
 	"github.com/lichenfall/lichenfall/jobs/durable"
 	"github.com/lichenfall/lichenfall/jobs/scheduler"
 	"github.com/lichenfall/lichenfall/lib/failure"
@@ -31,8 +31,8 @@
 	links       map[string]*peerLink
 	dialAt      map[string]time.Time
 	latest      map[string]*peerLink // by which each other coordinator was heard last
-	copies      *copies.Table
-	lateness    copies.Lateness
+	copies      *dedup.Table
+	lateness    dedup.Lateness
 	announced   []durable.JobID
 	announcedAt time.Time
 	countedAt   time.Time
@@ -66,7 +66,7 @@
 		links:  make(map[string]*peerLink),
 		dialAt: make(map[string]time.Time),
 		latest: make(map[string]*peerLink),
-		copies: copies.New(n.w.copies.Core(n.w.cfg)),
+		copies: dedup.New(n.w.copies.Core(n.w.cfg)),
 	}
 	n.wasLate = n.peers.late
 	n.later(readsMembers, n.peers.readMembers)
@@ -203,7 +203,7 @@
 	if !p.takes(l) {
 		return
 	}
-	from := copies.Peer{Address: l.from.name, Process: fmt.Sprint(l.lifeOf[0])}
+	from := dedup.Peer{Address: l.from.name, Process: fmt.Sprint(l.lifeOf[0])}
 	p.copies.Heard(p.n.now(), from, held)
 	for _, id := range held {
 		p.n.w.trace(p.n.incarnation(), string(id), "hears that %s has it", l.from.name)
@@ -213,7 +213,7 @@
 // giveUpUntold gives up the jobs of which the others are told too late.
 func (p *peers) giveUpUntold(now time.Time) {
 	old := p.n.core.BestEffortOlderThan(now, p.copies.Settings().TooLate())
-	for _, id := range copies.Late(old, p.announced) {
+	for _, id := range dedup.Late(old, p.announced) {
 		p.n.w.counts["jobs given up untold"]++
 		p.n.core.GiveUpUntold(now, id)
 	}
--- a/layout_test.go
+++ b/layout_test.go
@@ -29,7 +29,7 @@
 	"jobs/ownership": {"jobs/store"},
 	"jobs/subset":    {},
 	"jobs/speed":     {},
-	"jobs/copies":    {"jobs/durable"},
+	"jobs/dedup":     {"jobs/durable"},
 	"jobs/room":      {"jobs/durable", "lib/ordered", "wire"},
 	"jobs/runtable":  {"jobs/durable", "jobs/room", "jobs/routing", "jobs/speed", "lib/ordered", "wire"},
 	"jobs/scheduler": {"jobs/durable", "jobs/routing", "lib/failure", "lib/ordered", "wire"},
