--- a/config/copies.go
+++ b/config/copies.go
@@ -31,5 +31,5 @@
 
 // Core returns the settings of a table of copies, where the scheduler's leases are those given.
 func (c *Copies) Core(s *Scheduler) dedup.Settings {
-	return dedup.Settings{ResendAfter: c.ResendAfter.D(), RunsEnd: s.writeOff(s.BestEffortLease), Greeting: c.Greeting.D()}
+	return dedup.Settings{ResendAfter: c.ResendAfter.D(), RunsEndWithin: s.writeOff(s.BestEffortLease), StartupWait: c.Greeting.D()}
 }
--- a/jobs/coordinator/announce.go
+++ b/jobs/coordinator/announce.go
@@ -19,9 +19,9 @@
 }
 
 const (
-	// announceAnyway is how old the counts that others have of us may get:
+	// maxAnnounceInterval is how old the counts that others have of us may get:
 	// the users allow 2 s.
-	announceAnyway = time.Second
+	maxAnnounceInterval = time.Second
 	// jobHeldTwice names the line of a best-effort job that another coordinator has too.
 	jobHeldTwice = "job_held_twice"
 )
@@ -35,8 +35,8 @@
 	c.countedAt = now
 	mine := c.core.Waiting()
 	c.sumCounts(mine)
-	m := &wire.QueueCounts{Partitions: c.core.Partitions(), BestEffort: c.core.BestEffortOlderThan(now, c.copies.Settings().TellAfter())}
-	if now.Sub(c.announcedAt) < announceAnyway && !routesDiffer(m, c.announced) {
+	m := &wire.QueueCounts{Partitions: c.core.Partitions(), BestEffort: c.core.BestEffortOlderThan(now, c.copies.Settings().AnnounceAfter())}
+	if now.Sub(c.announcedAt) < maxAnnounceInterval && !routesDiffer(m, c.announced) {
 		return
 	}
 	c.announcedAt = now
@@ -72,16 +72,16 @@
 	c.waiting.Store(&all)
 }
 
-// announcementHeard takes what another coordinator has. It replaces all that it
+// handleAnnouncement takes what another coordinator has. It replaces all that it
 // said before.
-func (c *Coordinator) announcementHeard(now time.Time, from dedup.Peer, m *wire.QueueCounts) {
+func (c *Coordinator) handleAnnouncement(now time.Time, from dedup.Peer, m *wire.QueueCounts) {
 	counts := make(map[string]uint32, len(m.Counts))
 	for _, q := range m.Counts {
 		counts[q.Queue] = q.Jobs
 	}
 	c.counts[from.Address] = counts
 	c.tellHeldTwice(from.Address, m.BestEffort)
-	c.copies.Heard(now, from, m.BestEffort)
+	c.copies.Update(now, from, m.BestEffort)
 	c.forgetRoutes(from.Address)
 	for _, p := range m.Partitions {
 		if r, ok := c.remote[p.Partition]; !ok || p.Epoch >= r.epoch {
@@ -102,11 +102,11 @@
 	}
 }
 
-// giveUpUntold gives up the best-effort jobs of which the others are told too late: their callers
+// giveUpUnannounced gives up the best-effort jobs of which the others are told too late: their callers
 // may have sent them again, to one that has not heard of them.
-func (c *Coordinator) giveUpUntold(now time.Time) {
-	old := c.core.BestEffortOlderThan(now, c.copies.Settings().TooLate())
-	for _, id := range dedup.Late(old, c.announced.BestEffort) {
+func (c *Coordinator) giveUpUnannounced(now time.Time) {
+	old := c.core.BestEffortOlderThan(now, c.copies.Settings().AnnounceDeadline())
+	for _, id := range dedup.Unannounced(old, c.announced.BestEffort) {
 		c.core.GiveUpUntold(now, id)
 	}
 }
@@ -115,7 +115,7 @@
 // still run.
 func (c *Coordinator) peerLost(now time.Time, from string) {
 	delete(c.counts, from)
-	c.copies.Lost(now, from)
+	c.copies.LinkLost(now, from)
 	c.forgetRoutes(from)
 	c.failForwarded(from)
 }
--- a/jobs/coordinator/calls.go
+++ b/jobs/coordinator/calls.go
@@ -67,12 +67,12 @@
 	return scheduler.Reply{ID: cl.id, Failure: kind, RetryAfter: c.cfg.Scheduler.RetryAfter.D()}
 }
 
-// take answers a call here or passes it on to who has the job.
-func (c *Coordinator) take(now time.Time, cl *call) {
+// handleCall answers a call here or passes it on to who has the job.
+func (c *Coordinator) handleCall(now time.Time, cl *call) {
 	c.nextCall++
 	cl.number = c.nextCall
 	if cl.bestEffort() {
-		c.takeBestEffort(now, cl)
+		c.handleBestEffort(now, cl)
 		return
 	}
 	if c.core.Owns(cl.id) {
@@ -84,23 +84,23 @@
 	}
 }
 
-// takeBestEffort takes a best-effort job here, unless another coordinator has it, or may have it.
+// handleBestEffort takes a best-effort job here, unless another coordinator has it, or may have it.
 // One that was passed on to us and is here no more may have been long on its way.
-func (c *Coordinator) takeBestEffort(now time.Time, cl *call) {
+func (c *Coordinator) handleBestEffort(now time.Time, cl *call) {
 	if c.core.HasBestEffort(cl.id) {
 		c.toCore(now, cl)
 		return
 	}
 	if cl.conn != nil || c.core.Ending(cl.id) {
-		c.refuseCopy(cl, "ended_here")
+		c.refuseDuplicate(cl, "ended_here")
 		return
 	}
-	if !c.copies.Greeted(now) {
-		c.await(cl)
+	if !c.copies.Ready(now) {
+		c.deferCall(cl)
 		return
 	}
-	if c.lateness.TooOld(now, c.copies.Settings().TooLate()) {
-		c.refuseCopy(cl, "was_late")
+	if c.lateness.MayBeOlder(now, c.copies.Settings().AnnounceDeadline()) {
+		c.refuseDuplicate(cl, "was_late")
 		return
 	}
 	address, held := c.copies.Holder(now, cl.id)
@@ -108,37 +108,37 @@
 	case !held:
 		c.toCore(now, cl)
 	case !c.forward(now, cl, address):
-		c.refuseCopy(cl, "holder_lost")
+		c.refuseDuplicate(cl, "holder_lost")
 	}
 }
 
-// refuseCopy does not take a best-effort job that may be a copy of one that runs elsewhere: its
+// refuseDuplicate does not take a best-effort job that may be a copy of one that runs elsewhere: its
 // fate is not known.
-func (c *Coordinator) refuseCopy(cl *call, why string) {
+func (c *Coordinator) refuseDuplicate(cl *call, why string) {
 	c.metrics.Decision(copyUnsure)
 	c.log.Info(copyUnsure, zap.String("job", string(cl.id)), zap.String("reason", why))
 	c.reply(cl, c.refusal(cl, failure.CommitUnknown))
 }
 
-// await keeps a best-effort job until the others have told what they have. While it is not
+// deferCall keeps a best-effort job until the others have told what they have. While it is not
 // known who they are, nobody knows when that will be.
-func (c *Coordinator) await(cl *call) {
-	if !c.copies.IsKnown() || len(c.early) >= c.cfg.Scheduler.MaxJobs {
-		c.refuseCopy(cl, "just_begun")
+func (c *Coordinator) deferCall(cl *call) {
+	if !c.copies.InitialPeersKnown() || len(c.early) >= c.cfg.Scheduler.MaxJobs {
+		c.refuseDuplicate(cl, "just_begun")
 		return
 	}
 	c.early = append(c.early, cl)
 }
 
-// takeEarly takes the jobs that came before the others had told what they have.
-func (c *Coordinator) takeEarly(now time.Time) {
-	if len(c.early) == 0 || !c.copies.Greeted(now) {
+// handleDeferred takes the jobs that came before the others had told what they have.
+func (c *Coordinator) handleDeferred(now time.Time) {
+	if len(c.early) == 0 || !c.copies.Ready(now) {
 		return
 	}
 	early := c.early
 	c.early = nil
 	for _, cl := range early {
-		c.takeBestEffort(now, cl)
+		c.handleBestEffort(now, cl)
 	}
 }
 
@@ -150,7 +150,7 @@
 	switch cl.kind {
 	case wire.CallSubmit:
 		c.core.Submit(now, number, cl.submission, cl.budget)
-		c.noteSent(now, cl)
+		c.recordSentTime(now, cl)
 	case wire.CallState:
 		c.core.State(now, number, cl.id, cl.budget)
 	case wire.CallCancel:
@@ -158,12 +158,12 @@
 	}
 }
 
-// noteSent tells the core when the call may have been sent, and has the others told soon of a job
+// recordSentTime tells the core when the call may have been sent, and has the others told soon of a job
 // that is old enough.
-func (c *Coordinator) noteSent(now time.Time, cl *call) {
-	sent := c.lateness.Earliest(now, cl.since)
+func (c *Coordinator) recordSentTime(now time.Time, cl *call) {
+	sent := c.lateness.EarliestSent(now, cl.since)
 	c.core.SentBefore(cl.id, sent)
-	if now.Sub(sent) >= c.copies.Settings().TellAfter() {
+	if now.Sub(sent) >= c.copies.Settings().AnnounceAfter() {
 		c.announcedAt = time.Time{}
 	}
 }
--- a/jobs/coordinator/coordinator.go
+++ b/jobs/coordinator/coordinator.go
@@ -54,7 +54,7 @@
 	remote      map[uint32]route              // partitions of other coordinators
 	copies      *dedup.Table                  // best-effort jobs that others have
 	early       []*call                       // best-effort jobs that wait until others have told what they have
-	lateness    dedup.Lateness                // for how long calls may have waited for us
+	lateness    dedup.StallTracker            // for how long calls may have waited for us
 	calls       map[scheduler.Call]*call      // in our core
 	forwarded   map[uint64]*call              // passed on, by their number
 	nextCall    uint64
@@ -161,7 +161,7 @@
 // run starts the goroutines.
 func (c *Coordinator) run() {
 	c.peers.Serve(c.hello, inbound{c})
-	go c.loop.Run(c.halt.Done(), tickEvery, loop.Steps[event]{Clock: c.clock, Resumed: c.resumed, Late: c.late, Handle: c.handle, Tick: c.tick, Perform: c.perform})
+	go c.loop.Run(c.halt.Done(), tickEvery, loop.Steps[event]{Clock: c.clock, Resumed: c.resumed, Late: c.stalled, Handle: c.handle, Tick: c.tick, Perform: c.perform})
 	go c.keepJoining()
 	go c.followMembers()
 	go c.store.Operators(c.halt, operatorsPause, c.operatorsHeard)
@@ -173,17 +173,17 @@
 	c.log.Warn("box_resumed", zap.Int64("suspended_ms", suspended.Milliseconds()))
 }
 
-// late takes that nothing was done here for so long. The callers of what we have may have sent it
+// stalled takes that nothing was done here for so long. The callers of what we have may have sent it
 // again meanwhile, and those of what comes now may have sent it long ago; others forget our word
 // once our runs would be over.
-func (c *Coordinator) late(now time.Time, by time.Duration) {
+func (c *Coordinator) stalled(now time.Time, by time.Duration) {
 	c.metrics.Decision(controlLate)
 	c.log.Warn(controlLate, zap.Int64("late_ms", by.Milliseconds()))
 	c.lateness.Add(now, by)
-	if by >= c.copies.Settings().RunsEnd {
+	if by >= c.copies.Settings().RunsEndWithin {
 		c.announced = &wire.QueueCounts{}
 	}
-	c.giveUpUntold(now)
+	c.giveUpUnannounced(now)
 }
 
 func (c *Coordinator) hello() *wire.Hello {
@@ -191,7 +191,7 @@
 }
 
 // operatorsHeard takes a reading of what operators have put in force.
-func (c *Coordinator) operatorsHeard(news routing.News) {
+func (c *Coordinator) operatorsHeard(news routing.OperatorUpdate) {
 	if news.Configuration != nil {
 		c.configure(news.Configuration)
 	}
--- a/jobs/coordinator/events.go
+++ b/jobs/coordinator/events.go
@@ -113,7 +113,7 @@
 // membersHeard holds processes that are registered.
 type membersHeard struct{ members []store.Member }
 
-func (e membersHeard) apply(c *Coordinator, now time.Time) { c.membersChanged(now, e.members) }
+func (e membersHeard) apply(c *Coordinator, now time.Time) { c.updateMembers(now, e.members) }
 
 // evacuationsHeard holds the data centres in which nothing may be started, as the store has
 // just told.
@@ -128,7 +128,7 @@
 // called is a caller's request, ours or passed on by another coordinator.
 type called struct{ call *call }
 
-func (e called) apply(c *Coordinator, now time.Time) { c.take(now, e.call) }
+func (e called) apply(c *Coordinator, now time.Time) { c.handleCall(now, e.call) }
 
 // callerLeft says that one of our own callers no longer waits.
 type callerLeft struct{ call *call }
--- a/jobs/coordinator/forward.go
+++ b/jobs/coordinator/forward.go
@@ -39,12 +39,12 @@
 	return true
 }
 
-// takeForwarded takes a call that another coordinator passes on.
-func (c *Coordinator) takeForwarded(now time.Time, conn *peer.Conn, m *wire.JobCall) {
-	c.take(now, &call{kind: wire.CallKind(m.Kind), id: m.ID, submission: m.Submission, budget: time.Duration(m.BudgetMS) * time.Millisecond, since: now, conn: conn, seq: m.Seq})
+// handleForwarded takes a call that another coordinator passes on.
+func (c *Coordinator) handleForwarded(now time.Time, conn *peer.Conn, m *wire.JobCall) {
+	c.handleCall(now, &call{kind: wire.CallKind(m.Kind), id: m.ID, submission: m.Submission, budget: time.Duration(m.BudgetMS) * time.Millisecond, since: now, conn: conn, seq: m.Seq})
 }
 
-func (c *Coordinator) forwardAnswered(m *wire.JobReply) {
+func (c *Coordinator) handleForwardReply(m *wire.JobReply) {
 	cl := c.forwarded[m.Seq]
 	if cl == nil {
 		return
--- a/jobs/coordinator/inbound.go
+++ b/jobs/coordinator/inbound.go
@@ -28,10 +28,10 @@
 
 func (i *inboundConns) down(conn *peer.Conn) { delete(i.number, conn) }
 
-// takes returns whether what comes from the address over the connection counts: none that
+// accept returns whether what comes from the address over the connection counts: none that
 // came up later has been heard. A coordinator says nothing over a connection before it has
 // our hello, so one that it gave up unheard retires nothing.
-func (i *inboundConns) takes(conn *peer.Conn, address string) bool {
+func (i *inboundConns) accept(conn *peer.Conn, address string) bool {
 	n := i.number[conn]
 	if n < i.heard[address] {
 		return false
--- a/jobs/coordinator/inbound_test.go
+++ b/jobs/coordinator/inbound_test.go
@@ -13,25 +13,25 @@
 	earlier, later, unused := &peer.Conn{}, &peer.Conn{}, &peer.Conn{}
 	i := newInboundConns()
 	i.up(earlier)
-	if !i.takes(earlier, address) {
+	if !i.accept(earlier, address) {
 		t.Fatal("the only connection is not heard")
 	}
 	i.up(later)
-	if !i.takes(earlier, address) {
+	if !i.accept(earlier, address) {
 		t.Fatal("a connection is retired before the next is heard")
 	}
-	if !i.takes(later, address) || i.takes(earlier, address) {
+	if !i.accept(later, address) || i.accept(earlier, address) {
 		t.Fatal("what comes late over an earlier connection counts")
 	}
 	i.up(unused) // given up unheard by its peer
-	if !i.takes(later, address) {
+	if !i.accept(later, address) {
 		t.Fatal("a connection that was never used retires one that is")
 	}
-	if !i.takes(unused, other) {
+	if !i.accept(unused, other) {
 		t.Fatal("another coordinator is not heard")
 	}
 	i.down(earlier)
-	if i.takes(earlier, address) {
+	if i.accept(earlier, address) {
 		t.Fatal("a message that waited behind the end of its connection counts")
 	}
 }
--- a/jobs/coordinator/late_test.go
+++ b/jobs/coordinator/late_test.go
@@ -29,7 +29,7 @@
 	}
 	c := newCoordinator(config.DefaultCoordinator(), nil, metrics.NewJobs(tally.NoopScope, nil, scheduler.Classes), logging.Discard(), steady)
 	now := steady.Now()
-	c.copies.Known(now, nil)
+	c.copies.SetInitialPeers(now, nil)
 	return &lateCase{c, now}
 }
 
@@ -38,7 +38,7 @@
 // pause has nothing be done for so long.
 func (c *lateCase) pause(d time.Duration) {
 	c.pass(d)
-	c.late(c.now, d)
+	c.stalled(c.now, d)
 }
 
 // submit has a call come that is taken at once, and returns whether the core has its job.
@@ -47,7 +47,7 @@
 	s.Queue = durable.Queue{Name: "q", Service: "s", Stretch: 10, TargetMS: 10000, MaxAttempts: 1}
 	cl := &call{kind: wire.CallSubmit, id: id, submission: s, since: c.now}
 	cl.answer = make(chan scheduler.Reply, 1)
-	c.take(c.now, cl)
+	c.handleCall(c.now, cl)
 	return c.core.HasBestEffort(id)
 }
 
@@ -79,8 +79,8 @@
 	if !c.submit("00000000000000a1") {
 		t.Fatal("not taken")
 	}
-	c.pass(c.copies.Settings().TooLate() - time.Second)
-	c.giveUpUntold(c.now)
+	c.pass(c.copies.Settings().AnnounceDeadline() - time.Second)
+	c.giveUpUnannounced(c.now)
 	if c.core.HasBestEffort("00000000000000a1") {
 		t.Error("goes on, and nobody was told")
 	}
@@ -94,10 +94,10 @@
 		if !c.submit("00000000000000a1") {
 			t.Fatal("not taken")
 		}
-		c.pass(c.copies.Settings().TellAfter())
+		c.pass(c.copies.Settings().AnnounceAfter())
 		c.announce(c.now)
 		c.pause(length)
-		if held, kept := c.core.HasBestEffort("00000000000000a1"), length < c.copies.Settings().RunsEnd; held != kept {
+		if held, kept := c.core.HasBestEffort("00000000000000a1"), length < c.copies.Settings().RunsEndWithin; held != kept {
 			t.Errorf("after %v: held %v", length, held)
 		}
 	}
--- a/jobs/coordinator/links.go
+++ b/jobs/coordinator/links.go
@@ -118,7 +118,7 @@
 	if l := c.links[e.address]; !e.inbound && (l == nil || l.conn != e.conn) {
 		return
 	}
-	if e.inbound && !c.inbound.takes(e.conn, e.address) {
+	if e.inbound && !c.inbound.accept(e.conn, e.address) {
 		return
 	}
 	switch m := e.message.(type) {
@@ -129,11 +129,11 @@
 	case *wire.PartitionRuns:
 		c.core.Runs(now, e.address, m)
 	case *wire.JobCall:
-		c.takeForwarded(now, e.conn, m)
+		c.handleForwarded(now, e.conn, m)
 	case *wire.JobReply:
-		c.forwardAnswered(m)
+		c.handleForwardReply(m)
 	case *wire.QueueCounts:
-		c.announcementHeard(now, dedup.Peer{Address: e.address, Process: e.conn.Peer().Incarnation}, m)
+		c.handleAnnouncement(now, dedup.Peer{Address: e.address, Incarnation: e.conn.Peer().Incarnation}, m)
 	case *wire.CrashNews:
 		c.core.HearCrashes(now, m)
 	case *wire.HandOver:
--- a/jobs/coordinator/members.go
+++ b/jobs/coordinator/members.go
@@ -13,16 +13,16 @@
 )
 
 // register makes the process known, however long that takes.
-func (c *Coordinator) register(k *registration.Keeper) {
+func (c *Coordinator) register(k *registration.Registrar) {
 	m := store.Member{Address: c.peers.Advertised(), Role: store.RoleCoordinator, DataCentre: c.cfg.Box.DataCentre}
 	never := func() bool { return false }
-	k.Keep(c.halt, m, never)
+	k.Register(c.halt, m, never)
 }
 
 // followMembers tells the control goroutine of the registered processes. The first
 // reading tells whether we are registered.
 func (c *Coordinator) followMembers() {
-	k := registration.NewKeeper(c.store, c.log)
+	k := registration.NewRegistrar(c.store, c.log)
 	first := true
 	c.store.Members(c.halt, func(members []store.Member) {
 		c.loop.Post(membersHeard{members})
@@ -31,15 +31,15 @@
 		}
 		first = false
 		close(c.membersRead)
-		k.Recalled(store.MemberAt(members, c.peers.Advertised()))
+		k.SetRecorded(store.MemberAt(members, c.peers.Advertised()))
 		go c.register(k)
 	})
 }
 
-// membersChanged connects to processes that are new.
-func (c *Coordinator) membersChanged(now time.Time, members []store.Member) {
+// updateMembers connects to processes that are new.
+func (c *Coordinator) updateMembers(now time.Time, members []store.Member) {
 	c.logNewMembers(members)
-	c.copies.Known(now, c.otherCoordinators(members))
+	c.copies.SetInitialPeers(now, c.otherCoordinators(members))
 	for _, m := range members {
 		if m.Address == c.peers.Advertised() {
 			continue
@@ -123,8 +123,8 @@
 }
 
 // wantedWorkers returns how many workers of each service our own demand asks for.
-func (c *Coordinator) wantedWorkers(now time.Time, workers []subset.Worker) subset.Wanted {
-	wanted := make(subset.Wanted)
+func (c *Coordinator) wantedWorkers(now time.Time, workers []subset.Worker) subset.Demand {
+	wanted := make(subset.Demand)
 	for _, w := range workers {
 		if _, known := wanted[w.Service]; known {
 			continue
@@ -163,7 +163,7 @@
 }
 
 // shareWorkers tells the core how many coordinators share its workers.
-func (c *Coordinator) shareWorkers(workers []subset.Worker, wanted subset.Wanted) {
+func (c *Coordinator) shareWorkers(workers []subset.Worker, wanted subset.Demand) {
 	byService := make(map[string]int)
 	for _, w := range workers {
 		if !w.Evacuated {
@@ -189,7 +189,7 @@
 		}
 		w.Evacuated = c.core.Evacuated(m.DataCentre)
 		if l := c.links[address]; l != nil && l.conn == nil {
-			w.Lost = now.Sub(l.changed) > workerLostAfter
+			w.Unreachable = now.Sub(l.changed) > workerLostAfter
 		}
 		out = append(out, w)
 	}
--- a/jobs/coordinator/perform.go
+++ b/jobs/coordinator/perform.go
@@ -11,13 +11,13 @@
 
 func (c *Coordinator) tick(now time.Time) {
 	c.checkLease(now)
-	c.giveUpUntold(now)
-	c.takeEarly(now)
+	c.giveUpUnannounced(now)
+	c.handleDeferred(now)
 	c.core.Tick(now)
-	c.serving.Store(c.core.Serving(now) && c.copies.Greeted(now))
+	c.serving.Store(c.core.Serving(now) && c.copies.Ready(now))
 	c.expireForwarded(now)
 	c.announce(now)
-	c.copies.Forget(now)
+	c.copies.Expire(now)
 	if c.chooseAgain(now) {
 		c.chooseWorkers(now)
 	}
--- a/jobs/dedup/dedup.go
+++ b/jobs/dedup/dedup.go
@@ -21,12 +21,12 @@
 type Settings struct {
 	// ResendAfter is the least time from a caller's call to the next about the same job.
 	ResendAfter time.Duration
-	// RunsEnd is how long runs may last after the last that was heard of the coordinator that
+	// RunsEndWithin is how long runs may last after the last that was heard of the coordinator that
 	// ordered them, if it is gone.
-	RunsEnd time.Duration
-	// Greeting is how long a coordinator that has just begun waits for the words of others,
+	RunsEndWithin time.Duration
+	// StartupWait is how long a coordinator that has just begun waits for the words of others,
 	// once it has read who they are.
-	Greeting time.Duration
+	StartupWait time.Duration
 }
 
 // Shares of Settings.ResendAfter.
@@ -35,19 +35,19 @@
 	lateShare = 0.85 // after which it is too late to tell them for the first time
 )
 
-// TellAfter is the age from which other coordinators are told of a job. The rest of ResendAfter
+// AnnounceAfter is the age from which other coordinators are told of a job. The rest of ResendAfter
 // is for links and control goroutines that are slow.
-func (s Settings) TellAfter() time.Duration { return share(s.ResendAfter, tellShare) }
+func (s Settings) AnnounceAfter() time.Duration { return share(s.ResendAfter, tellShare) }
 
-// TooLate is the age from which it is too late to tell them for the first time: a copy may come
+// AnnounceDeadline is the age from which it is too late to tell them for the first time: a copy may come
 // before it is heard.
-func (s Settings) TooLate() time.Duration { return share(s.ResendAfter, lateShare) }
+func (s Settings) AnnounceDeadline() time.Duration { return share(s.ResendAfter, lateShare) }
 
 func share(d time.Duration, part float64) time.Duration { return time.Duration(part * float64(d)) }
 
-// Late returns which of our jobs, all older than Settings.TooLate, are to be given up: others
+// Unannounced returns which of our jobs, all older than Settings.TooLate, are to be given up: others
 // have not been told of them. Both are in order.
-func Late(old, told []durable.JobID) []durable.JobID {
+func Unannounced(old, told []durable.JobID) []durable.JobID {
 	var late []durable.JobID
 	for _, id := range old {
 		if _, isTold := slices.BinarySearch(told, id); !isTold {
@@ -59,8 +59,8 @@
 
 // Peer is another coordinator: its address, and its process there.
 type Peer struct {
-	Address string
-	Process string
+	Address     string
+	Incarnation string
 }
 
 // word is what a coordinator has said last.
@@ -88,10 +88,10 @@
 // Settings returns the settings of the table.
 func (t *Table) Settings() Settings { return t.cfg }
 
-// Known tells the table of the other coordinators that were registered when this process
+// SetInitialPeers tells the table of the other coordinators that were registered when this process
 // first read of them; later calls change nothing.
-func (t *Table) Known(now time.Time, addresses []string) {
-	if t.IsKnown() {
+func (t *Table) SetInitialPeers(now time.Time, addresses []string) {
+	if t.InitialPeersKnown() {
 		return
 	}
 	t.knownAt = now
@@ -102,8 +102,8 @@
 	}
 }
 
-// IsKnown returns whether Known was called.
-func (t *Table) IsKnown() bool { return !t.knownAt.IsZero() }
+// InitialPeersKnown returns whether Known was called.
+func (t *Table) InitialPeersKnown() bool { return !t.knownAt.IsZero() }
 
 func (t *Table) heard(address string) bool {
 	for p := range t.words {
@@ -114,15 +114,15 @@
 	return false
 }
 
-// Greeted returns whether the coordinators that were there before us have told what they have.
+// Ready returns whether the coordinators that were there before us have told what they have.
 // One that says nothing is waited for until Settings.Greeting after Known.
-func (t *Table) Greeted(now time.Time) bool {
-	return t.IsKnown() && (len(t.awaited) == 0 || now.Sub(t.knownAt) >= t.cfg.Greeting)
+func (t *Table) Ready(now time.Time) bool {
+	return t.InitialPeersKnown() && (len(t.awaited) == 0 || now.Sub(t.knownAt) >= t.cfg.StartupWait)
 }
 
-// Heard takes the word of a coordinator of its jobs, which replaces all that it said before.
+// Update takes the word of a coordinator of its jobs, which replaces all that it said before.
 // What an earlier process at the address had may run on for a while.
-func (t *Table) Heard(now time.Time, from Peer, jobs []durable.JobID) {
+func (t *Table) Update(now time.Time, from Peer, jobs []durable.JobID) {
 	delete(t.awaited, from.Address)
 	for p, w := range t.words {
 		if p.Address == from.Address && p != from {
@@ -136,8 +136,8 @@
 	t.words[from] = w
 }
 
-// Lost tells the table that the link to the coordinator is lost. It may be there nevertheless.
-func (t *Table) Lost(now time.Time, address string) {
+// LinkLost tells the table that the link to the coordinator is lost. It may be there nevertheless.
+func (t *Table) LinkLost(now time.Time, address string) {
 	for p, w := range t.words {
 		if p.Address == address {
 			w.leave(now)
@@ -191,11 +191,11 @@
 	if w.gone.Before(last) {
 		last = w.gone
 	}
-	return last.Add(t.cfg.RunsEnd)
+	return last.Add(t.cfg.RunsEndWithin)
 }
 
-// Forget drops the words of lost coordinators whose runs are over.
-func (t *Table) Forget(now time.Time) {
+// Expire drops the words of lost coordinators whose runs are over.
+func (t *Table) Expire(now time.Time) {
 	for p, w := range t.words {
 		if now.Sub(w.at) >= silentAfter {
 			w.leave(now)
--- a/jobs/dedup/stall.go
+++ b/jobs/dedup/stall.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Lateness is what a process knows of times in which it handled nothing: a call that is taken
+// StallTracker is what a process knows of times in which it handled nothing: a call that is taken
 // soon after may have waited for as long.
-type Lateness struct {
+type StallTracker struct {
 	by    time.Duration
 	until time.Time // calls that are taken before may have waited
 }
@@ -18,7 +18,7 @@
 
 // Add takes that nothing was handled for so long until now. What is late again while it still
 // reads is later by that.
-func (l *Lateness) Add(now time.Time, by time.Duration) {
+func (l *StallTracker) Add(now time.Time, by time.Duration) {
 	if now.Before(l.until) {
 		by += l.by
 	}
@@ -28,15 +28,15 @@
 	}
 }
 
-// Earliest returns when a call may have been sent that was read at came and is taken now.
-func (l *Lateness) Earliest(now, came time.Time) time.Time {
+// EarliestSent returns when a call may have been sent that was read at came and is taken now.
+func (l *StallTracker) EarliestSent(now, came time.Time) time.Time {
 	if waited := now.Add(-l.by); now.Before(l.until) && waited.Before(came) {
 		return waited
 	}
 	return came
 }
 
-// TooOld returns whether a call that is taken now may have waited for as long as age.
-func (l *Lateness) TooOld(now time.Time, age time.Duration) bool {
+// MayBeOlder returns whether a call that is taken now may have waited for as long as age.
+func (l *StallTracker) MayBeOlder(now time.Time, age time.Duration) bool {
 	return now.Before(l.until) && l.by >= age
 }
--- a/jobs/fakestore/store.go
+++ b/jobs/fakestore/store.go
@@ -148,12 +148,12 @@
 }
 
 // Operators implements store.Store.
-func (s *Store) Operators(ctx context.Context, _ time.Duration, f func(routing.News)) {
+func (s *Store) Operators(ctx context.Context, _ time.Duration, f func(routing.OperatorUpdate)) {
 	s.follow(ctx, func() func() {
 		if s.refusing {
 			return func() {}
 		}
-		news := routing.News{Configuration: s.configuration, Evacuations: s.evacuations}
+		news := routing.OperatorUpdate{Configuration: s.configuration, Evacuations: s.evacuations}
 		return func() { f(news) }
 	})
 }
--- a/jobs/promises/copies_test.go
+++ b/jobs/promises/copies_test.go
@@ -318,7 +318,7 @@
 
 // toldAt is the age at which all coordinators in touch have been told of the job.
 func (s *copied) toldAt() time.Duration {
-	return s.first.peers.copies.Settings().TellAfter() + announceEvery + 3*tickEvery
+	return s.first.peers.copies.Settings().AnnounceAfter() + announceEvery + 3*tickEvery
 }
 
 // twoDeaths has the coordinator die at an age between the two, and then the worker be in trouble.
--- a/jobs/promises/peers_test.go
+++ b/jobs/promises/peers_test.go
@@ -22,17 +22,18 @@
 )
 
 // peers is what a coordinator knows of the best-effort jobs of the others, and the links that
-// it keeps to them. It follows package coordinator: announce, routesDiffer, announcementHeard,
-// giveUpUntold and peerLost of announce.go; takeBestEffort, refuseCopy, await, takeEarly and
-// noteSent of calls.go; forward, forwardAnswered and failForwarded of forward.go; takes of inbound.go;
-// late of coordinator.go; tick of perform.go; membersChanged of members.go.
+// it keeps to them. It follows package coordinator: announce, routesDiffer, handleAnnouncement,
+// giveUpUnannounced and peerLost of announce.go; handleBestEffort, refuseDuplicate, deferCall,
+// handleDeferred and recordSentTime of calls.go; forward, handleForwardReply and failForwarded of
+// forward.go; accept of inbound.go; stalled of coordinator.go; tick of perform.go; updateMembers of
+// members.go.
 type peers struct {
 	n           *coordinatorNode
 	links       map[string]*peerLink
 	dialAt      map[string]time.Time
 	latest      map[string]*peerLink // by which each other coordinator was heard last
 	copies      *dedup.Table
-	lateness    dedup.Lateness
+	lateness    dedup.StallTracker
 	announced   []durable.JobID
 	announcedAt time.Time
 	countedAt   time.Time
@@ -99,7 +100,7 @@
 			others = append(others, o.name)
 		}
 	}
-	p.copies.Known(p.n.now(), others)
+	p.copies.SetInitialPeers(p.n.now(), others)
 }
 
 // beginTickPeers is what a tick does before that of the core.
@@ -115,7 +116,7 @@
 	if n.peers != nil {
 		n.peers.dial()
 		n.peers.announce(n.now())
-		n.peers.copies.Forget(n.now())
+		n.peers.copies.Expire(n.now())
 	}
 }
 
@@ -159,7 +160,7 @@
 // lost takes that the other coordinator cannot be reached, and answers whose calls it has.
 func (p *peers) lost(l *peerLink) {
 	p.n.w.trace(p.n.incarnation(), ".0", "has no link to %s any more", l.to.name)
-	p.copies.Lost(p.n.now(), l.to.name)
+	p.copies.LinkLost(p.n.now(), l.to.name)
 	left := p.passedOn[:0:0]
 	for _, f := range p.passedOn {
 		if f.link != l {
@@ -177,7 +178,7 @@
 		return
 	}
 	p.countedAt = now
-	held := p.n.core.BestEffortOlderThan(now, p.copies.Settings().TellAfter())
+	held := p.n.core.BestEffortOlderThan(now, p.copies.Settings().AnnounceAfter())
 	news := slices.ContainsFunc(held, func(id durable.JobID) bool { return !slices.Contains(p.announced, id) })
 	if now.Sub(p.announcedAt) < announceAnyway && !news {
 		return
@@ -203,8 +204,8 @@
 	if !p.takes(l) {
 		return
 	}
-	from := dedup.Peer{Address: l.from.name, Process: fmt.Sprint(l.lifeOf[0])}
-	p.copies.Heard(p.n.now(), from, held)
+	from := dedup.Peer{Address: l.from.name, Incarnation: fmt.Sprint(l.lifeOf[0])}
+	p.copies.Update(p.n.now(), from, held)
 	for _, id := range held {
 		p.n.w.trace(p.n.incarnation(), string(id), "hears that %s has it", l.from.name)
 	}
@@ -212,8 +213,8 @@
 
 // giveUpUntold gives up the jobs of which the others are told too late.
 func (p *peers) giveUpUntold(now time.Time) {
-	old := p.n.core.BestEffortOlderThan(now, p.copies.Settings().TooLate())
-	for _, id := range dedup.Late(old, p.announced) {
+	old := p.n.core.BestEffortOlderThan(now, p.copies.Settings().AnnounceDeadline())
+	for _, id := range dedup.Unannounced(old, p.announced) {
 		p.n.w.counts["jobs given up untold"]++
 		p.n.core.GiveUpUntold(now, id)
 	}
@@ -222,7 +223,7 @@
 // late takes that nothing was done here for so long.
 func (p *peers) late(now time.Time, by time.Duration) {
 	p.lateness.Add(now, by)
-	if by >= p.copies.Settings().RunsEnd {
+	if by >= p.copies.Settings().RunsEndWithin {
 		p.announced = nil
 	}
 	p.giveUpUntold(now)
@@ -238,11 +239,11 @@
 		n.refuseCopy(c, "ended here")
 		return false
 	}
-	if !n.peers.copies.Greeted(n.now()) {
+	if !n.peers.copies.Ready(n.now()) {
 		n.await(c)
 		return false
 	}
-	if n.peers.lateness.TooOld(n.now(), n.peers.copies.Settings().TooLate()) {
+	if n.peers.lateness.MayBeOlder(n.now(), n.peers.copies.Settings().AnnounceDeadline()) {
 		n.refuseCopy(c, "was late")
 		return false
 	}
@@ -261,7 +262,7 @@
 
 // await keeps the call until the others have told what they have.
 func (n *coordinatorNode) await(c *nodeCall) {
-	if !n.peers.copies.IsKnown() {
+	if !n.peers.copies.InitialPeersKnown() {
 		n.refuseCopy(c, "just begun")
 		return
 	}
@@ -271,7 +272,7 @@
 
 // takeEarly takes the calls that came before the others had told what they have.
 func (p *peers) takeEarly() {
-	if len(p.early) == 0 || !p.copies.Greeted(p.n.now()) {
+	if len(p.early) == 0 || !p.copies.Ready(p.n.now()) {
 		return
 	}
 	early := p.early
@@ -292,9 +293,9 @@
 	if !c.since.IsZero() {
 		sent = c.since
 	}
-	sent = n.peers.lateness.Earliest(now, sent)
+	sent = n.peers.lateness.EarliestSent(now, sent)
 	n.core.SentBefore(c.id, sent)
-	if now.Sub(sent) >= n.peers.copies.Settings().TellAfter() {
+	if now.Sub(sent) >= n.peers.copies.Settings().AnnounceAfter() {
 		n.peers.announcedAt = time.Time{}
 	}
 }
--- a/jobs/registration/registration.go
+++ b/jobs/registration/registration.go
@@ -44,9 +44,9 @@
 // minute, for 204,891 refusals (platform TestFleet).
 var refused = retry.Backoff{Base: 2 * time.Second, Max: 4 * time.Second}
 
-// Keeper keeps the record of one process. It is used by one goroutine at a time, but for
+// Registrar keeps the record of one process. It is used by one goroutine at a time, but for
 // Tell.
-type Keeper struct {
+type Registrar struct {
 	store store.Store
 	log   *logging.Log
 	told  chan *store.Member // what the store has, by word of others; holds the newest
@@ -56,14 +56,14 @@
 	found    bool
 }
 
-// NewKeeper returns the keeper of the record of a process.
-func NewKeeper(s store.Store, log *logging.Log) *Keeper {
-	return &Keeper{store: s, log: log, told: make(chan *store.Member, 1)}
+// NewRegistrar returns the keeper of the record of a process.
+func NewRegistrar(s store.Store, log *logging.Log) *Registrar {
+	return &Registrar{store: s, log: log, told: make(chan *store.Member, 1)}
 }
 
-// Tell tells the keeper what the store has, by word of another process that has read it. It
+// Report tells the keeper what the store has, by word of another process that has read it. It
 // may be called by any goroutine, and does not block.
-func (k *Keeper) Tell(m store.Member) {
+func (k *Registrar) Report(m store.Member) {
 	select {
 	case <-k.told:
 	default:
@@ -74,14 +74,14 @@
 	}
 }
 
-// Recalled tells the keeper what was read of the record.
-func (k *Keeper) Recalled(m store.Member, found bool) {
+// SetRecorded tells the keeper what was read of the record.
+func (k *Registrar) SetRecorded(m store.Member, found bool) {
 	k.recalled, k.member, k.found = true, m, found
 }
 
-// Keep sees that the store has the record: it tries until then, until ctx ends, or until
+// Register sees that the store has the record: it tries until then, until ctx ends, or until
 // superseded says that there is something newer to register.
-func (k *Keeper) Keep(ctx context.Context, m store.Member, superseded func() bool) {
+func (k *Registrar) Register(ctx context.Context, m store.Member, superseded func() bool) {
 	if !k.recalled {
 		k.awaitWord(ctx)
 	}
@@ -93,7 +93,7 @@
 		loop.Sleep(ctx, rand.N(putOffMost))
 	}
 	for try := 0; ctx.Err() == nil && !superseded(); try++ {
-		if k.register(ctx, m) {
+		if k.registerOnce(ctx, m) {
 			return
 		}
 		loop.Sleep(ctx, refused.Delay(try, rand.Float64()))
@@ -101,18 +101,18 @@
 }
 
 // awaitWord waits a while for the word of another process.
-func (k *Keeper) awaitWord(ctx context.Context) {
+func (k *Registrar) awaitWord(ctx context.Context) {
 	late := time.NewTimer(toldWithin + rand.N(toldWithin))
 	defer late.Stop()
 	select {
 	case m := <-k.told:
-		k.Recalled(*m, true)
+		k.SetRecorded(*m, true)
 	case <-late.C:
 	case <-ctx.Done():
 	}
 }
 
-func (k *Keeper) register(ctx context.Context, m store.Member) bool {
+func (k *Registrar) registerOnce(ctx context.Context, m store.Member) bool {
 	call, cancel := context.WithTimeout(ctx, callLimit)
 	defer cancel()
 	if err := k.store.Register(call, m); err != nil {
@@ -120,7 +120,7 @@
 		k.log.Warn("register_failed", zap.Error(err))
 		return false
 	}
-	k.Recalled(m, true)
+	k.SetRecorded(m, true)
 	k.log.Info("registered", zap.String("address", m.Address))
 	return true
 }
--- a/jobs/registration/registration_test.go
+++ b/jobs/registration/registration_test.go
@@ -60,14 +60,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				r := &records{members: make(map[string]store.Member)}
 				began := time.Now()
-				k := registration.NewKeeper(r, logging.Discard())
+				k := registration.NewRegistrar(r, logging.Discard())
 				if c.read != nil {
-					k.Recalled(*c.read, true)
+					k.SetRecorded(*c.read, true)
 				}
 				if c.told != nil {
-					time.AfterFunc(c.after, func() { k.Tell(*c.told) })
+					time.AfterFunc(c.after, func() { k.Report(*c.told) })
 				}
-				k.Keep(context.Background(), record("i-1"), never)
+				k.Register(context.Background(), record("i-1"), never)
 				if len(r.writes) != c.writes {
 					t.Fatalf("%d writes, not %d", len(r.writes), c.writes)
 				}
@@ -77,7 +77,7 @@
 					}
 				}
 				time.Sleep(c.after)
-				k.Keep(context.Background(), record("i-1"), never)
+				k.Register(context.Background(), record("i-1"), never)
 				if len(r.writes) != c.writes {
 					t.Error("the same record was written again")
 				}
@@ -93,7 +93,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := &records{members: make(map[string]store.Member), refuseUntil: time.Now().Add(outage)}
 		began := time.Now()
-		registration.NewKeeper(r, logging.Discard()).Keep(context.Background(), record("i-1"), func() bool { return false })
+		registration.NewRegistrar(r, logging.Discard()).Register(context.Background(), record("i-1"), func() bool { return false })
 		if r.refusals > 14 {
 			t.Errorf("asked %d times in %v", r.refusals, outage)
 		}
--- a/jobs/routing/evacuations.go
+++ b/jobs/routing/evacuations.go
@@ -18,11 +18,13 @@
 	return found
 }
 
-// Same returns whether the two name the same data centres.
-func (e Evacuations) Same(o Evacuations) bool { return slices.Equal(e.DataCentres, o.DataCentres) }
+// SameDataCentres returns whether the two name the same data centres.
+func (e Evacuations) SameDataCentres(o Evacuations) bool {
+	return slices.Equal(e.DataCentres, o.DataCentres)
+}
 
-// News is what a reading of the operators' records has brought.
-type News struct {
+// OperatorUpdate is what a reading of the operators' records has brought.
+type OperatorUpdate struct {
 	Configuration *Configuration // nil where it has brought none
 	Evacuations   Evacuations    // those that stand
 }
--- a/jobs/scheduler/evacuations.go
+++ b/jobs/scheduler/evacuations.go
@@ -20,7 +20,7 @@
 	}
 	before := c.evacuations
 	c.evacuations, c.evacuationsAt = e, now
-	if before.Same(e) {
+	if before.SameDataCentres(e) {
 		return false
 	}
 	for _, w := range c.order {
--- a/jobs/store/store.go
+++ b/jobs/store/store.go
@@ -113,5 +113,5 @@
 	// Operators calls f with what operators have put in force: first with all that stands,
 	// then after each reading that the store has answered, also if it brought nothing new,
 	// until ctx ends. At the end of an outage pause is the time between two tries.
-	Operators(ctx context.Context, pause time.Duration, f func(routing.News))
+	Operators(ctx context.Context, pause time.Duration, f func(routing.OperatorUpdate))
 }
--- a/jobs/subset/subset.go
+++ b/jobs/subset/subset.go
@@ -14,9 +14,9 @@
 
 // Worker is a worker that a coordinator may keep a connection to.
 type Worker struct {
-	Address string
-	Service string // of its backend server; empty while it is not known
-	Lost    bool   // it cannot be reached at present
+	Address     string
+	Service     string // of its backend server; empty while it is not known
+	Unreachable bool   // it cannot be reached at present
 	// Evacuated workers take no tasks, and keep their connections: their coordinators tell
 	// them when they may again.
 	Evacuated bool
@@ -28,13 +28,13 @@
 	Coverage int // coordinators that each worker should have at least
 }
 
-// Least is how many workers of a service a coordinator keeps connections to, however little it
+// MinSize is how many workers of a service a coordinator keeps connections to, however little it
 // asks of them: two of the widest jobs begin there at once.
-const Least = 12
+const MinSize = 12
 
-// Wanted is how many workers of each service the coordinator's own demand asks for. One
+// Demand is how many workers of each service the coordinator's own demand asks for. One
 // that is not named is asked for as far as Settings.Size goes.
-type Wanted map[string]int
+type Demand map[string]int
 
 // Choose returns the addresses of the workers that one of the coordinators, self,
 // keeps connections to, and of each whether it is to be preferred. The
@@ -44,7 +44,7 @@
 // are taken beside those that count. So the connections of one process do not
 // grow with all processes, and no worker is left out as long as the coordinators
 // know of each other.
-func Choose(cfg Settings, self string, coordinators []string, workers []Worker, wanted Wanted) (chosen map[string]bool) {
+func Choose(cfg Settings, self string, coordinators []string, workers []Worker, wanted Demand) (chosen map[string]bool) {
 	place, count := placeOf(self, coordinators)
 	chosen = make(map[string]bool)
 	for service, ring := range rings(workers) {
@@ -54,7 +54,7 @@
 		for i := 0; i < len(ring) && left > 0; i++ {
 			w := ring[(start+i)%len(ring)]
 			chosen[w.Address] = i < preferred
-			if !w.Lost && !w.Evacuated {
+			if !w.Unreachable && !w.Evacuated {
 				left--
 			}
 		}
@@ -64,7 +64,7 @@
 
 // Sharers returns how many of so many coordinators keep a connection to one of so many
 // workers of the service, on the average, if they all want as many.
-func (s Settings) Sharers(service string, workers, coordinators int, wanted Wanted) float64 {
+func (s Settings) Sharers(service string, workers, coordinators int, wanted Demand) float64 {
 	if workers == 0 {
 		return float64(coordinators)
 	}
@@ -75,10 +75,10 @@
 // sizeFor returns how many workers of a service a coordinator takes that wants so many.
 func (s Settings) sizeFor(workers, coordinators, wanted int) int {
 	covering := math.Ceil(float64(s.Coverage) * float64(workers) / float64(coordinators))
-	return max(min(s.Size, max(Least, wanted)), int(covering))
+	return max(min(s.Size, max(MinSize, wanted)), int(covering))
 }
 
-func (w Wanted) of(service string) int {
+func (w Demand) of(service string) int {
 	n, named := w[service]
 	if !named {
 		return math.MaxInt
--- a/jobs/subset/subset_test.go
+++ b/jobs/subset/subset_test.go
@@ -76,12 +76,12 @@
 		before := subset.Choose(cfg, "c3:1", coordinators, workers, nil)
 		for i := range workers {
 			_, taken := before[workers[i].Address]
-			workers[i].Lost = taken && i%2 == 0
+			workers[i].Unreachable = taken && i%2 == 0
 		}
 		after := subset.Choose(cfg, "c3:1", coordinators, workers, nil)
 		reachable := 0
 		for _, w := range workers {
-			if _, taken := after[w.Address]; taken && !w.Lost {
+			if _, taken := after[w.Address]; taken && !w.Unreachable {
 				reachable++
 			}
 		}
@@ -101,18 +101,18 @@
 		coordinators := addresses("c", 55)
 		workers := workersAt(addresses("w", 240), "s")
 		for wanted, size := range map[int]int{0: 18, 15: 18, 30: 30, 500: 48} {
-			chosen := subset.Choose(cfg, "c3:1", coordinators, workers, subset.Wanted{"s": wanted})
+			chosen := subset.Choose(cfg, "c3:1", coordinators, workers, subset.Demand{"s": wanted})
 			Expect(chosen).To(HaveLen(size))
-			Expect(cfg.Sharers("s", 240, 55, subset.Wanted{"s": wanted})).To(BeNumerically("~", 55*float64(size)/240, 0.01))
+			Expect(cfg.Sharers("s", 240, 55, subset.Demand{"s": wanted})).To(BeNumerically("~", 55*float64(size)/240, 0.01))
 		}
 		many := addresses("c", 960)
-		Expect(subset.Choose(cfg, "c3:1", many, workers, subset.Wanted{"s": 0})).To(HaveLen(subset.Least))
+		Expect(subset.Choose(cfg, "c3:1", many, workers, subset.Demand{"s": 0})).To(HaveLen(subset.MinSize))
 	})
 
 	It("of one who wants few are among those of one who wants many", func() {
 		coordinators := addresses("c", 55)
 		workers := workersAt(addresses("w", 240), "s")
-		few := subset.Choose(cfg, "c3:1", coordinators, workers, subset.Wanted{"s": 0})
+		few := subset.Choose(cfg, "c3:1", coordinators, workers, subset.Demand{"s": 0})
 		many := subset.Choose(cfg, "c3:1", coordinators, workers, nil)
 		for address, preferred := range few {
 			Expect(many).To(HaveKeyWithValue(address, preferred))
--- a/jobs/worker/events.go
+++ b/jobs/worker/events.go
@@ -108,7 +108,7 @@
 // takeRecorded takes a coordinator's word of what the store has of the backend server.
 func (w *Worker) takeRecorded(now time.Time, m *wire.RecordedBackend) {
 	w.recorded = &store.Backend{Instance: m.Instance, Born: m.Born, Service: m.Service, Ready: m.Ready, Capacity: m.Capacity, Labels: m.Labels}
-	w.keeper.Tell(w.member(w.recorded))
+	w.registrar.Report(w.member(w.recorded))
 	w.useRecorded(now)
 }
 
--- a/jobs/worker/registration.go
+++ b/jobs/worker/registration.go
@@ -39,7 +39,7 @@
 		case <-w.halt.Done():
 			return
 		case b := <-w.register:
-			w.keeper.Keep(w.halt, w.member(b), newer)
+			w.registrar.Register(w.halt, w.member(b), newer)
 		}
 	}
 }
--- a/jobs/worker/worker.go
+++ b/jobs/worker/worker.go
@@ -64,8 +64,8 @@
 	end      context.CancelFunc
 	renewNow chan struct{} // a renewal is wanted at once
 
-	register chan *store.Backend // to be registered; holds the newest
-	keeper   *registration.Keeper
+	register  chan *store.Backend // to be registered; holds the newest
+	registrar *registration.Registrar
 }
 
 const (
@@ -109,19 +109,19 @@
 
 func newWorker(cfg *config.Worker, b Backend, s store.Store, m *metrics.Jobs, log *logging.Log, steady *clock.Clock) *Worker {
 	return &Worker{
-		cfg:      cfg,
-		clock:    steady,
-		log:      log,
-		backend:  b,
-		store:    s,
-		metrics:  m,
-		loop:     loop.New[event](backlog),
-		name:     cfg.Box.Name + "/" + uuid.NewString(),
-		table:    runtable.New(cfg.Runs.Core(cfg.Box.DataCentre), steady.Now()),
-		owners:   make(map[string]*peer.Conn),
-		renewNow: make(chan struct{}, 1),
-		register: make(chan *store.Backend, 1),
-		keeper:   registration.NewKeeper(s, log),
+		cfg:       cfg,
+		clock:     steady,
+		log:       log,
+		backend:   b,
+		store:     s,
+		metrics:   m,
+		loop:      loop.New[event](backlog),
+		name:      cfg.Box.Name + "/" + uuid.NewString(),
+		table:     runtable.New(cfg.Runs.Core(cfg.Box.DataCentre), steady.Now()),
+		owners:    make(map[string]*peer.Conn),
+		renewNow:  make(chan struct{}, 1),
+		register:  make(chan *store.Backend, 1),
+		registrar: registration.NewRegistrar(s, log),
 	}
 }
 
