--- a/config/loadpolicy.go
+++ b/config/loadpolicy.go
@@ -51,7 +51,9 @@
 }
 
 // Core returns the settings for the core.
-func (r *Room) Core() room.Settings { return room.Settings{Grant: r.Grant.D(), Ask: r.Ask.D()} }
+func (r *Room) Core() room.Settings {
+	return room.Settings{GrantTTL: r.Grant.D(), RequestTTL: r.Ask.D()}
+}
 
 func (r *Room) check(c *checker) {
 	second := Duration(time.Second)
--- a/jobs/room/asks.go
+++ b/jobs/room/asks.go
@@ -45,9 +45,9 @@
 	unfitSince time.Time
 }
 
-// Ask takes what waits at the owner, a coordinator by the name of its connection.
-func (t *Table) Ask(now time.Time, owner string, m *wire.RoomAsk) {
-	t.Ordered(now, owner, m.Seen)
+// Request takes what waits at the owner, a coordinator by the name of its connection.
+func (t *Table) Request(now time.Time, owner string, m *wire.RoomAsk) {
+	t.OrderReceived(now, owner, m.Seen)
 	t.lapse(now)
 	a := t.askers[owner]
 	if a == nil {
@@ -58,7 +58,7 @@
 		return // late, or doubled
 	}
 	a.seq = m.Seq
-	a.until = now.Add(t.cfg.Ask)
+	a.until = now.Add(t.cfg.RequestTTL)
 	before := a.waits
 	a.waits = newWaits(now, owner, m.Waits)
 	if len(a.waits) == 0 {
--- a/jobs/room/bench_test.go
+++ b/jobs/room/bench_test.go
@@ -30,7 +30,7 @@
 		f.free = cores(2)
 		f.pass(time.Millisecond)
 		for _, owner := range f.share() {
-			f.table.Waiting(f.now, owner)
+			f.table.WaitingElsewhere(f.now, owner)
 			f.use(owner, 2)
 		}
 		f.table.Events()
--- a/jobs/room/events.go
+++ b/jobs/room/events.go
@@ -5,10 +5,10 @@
 
 // The kinds of events.
 const (
-	Granted       EventKind = iota // room for one task was granted
-	GrantUsed                      // orders were taken of an owner that had grants
-	GrantLapsed                    // the owner did not answer in time
-	OwnerSetAside                  // it let several lapse, and comes last for a while
+	Granted            EventKind = iota // room for one task was granted
+	GrantUsed                           // orders were taken of an owner that had grants
+	GrantLapsed                         // the owner did not answer in time
+	OwnerDeprioritised                  // it let several lapse, and comes last for a while
 )
 
 // Event is something worth a line in the log.
--- a/jobs/room/grants.go
+++ b/jobs/room/grants.go
@@ -31,7 +31,7 @@
 
 // grant keeps room for the wait's next task.
 func (t *Table) grant(now time.Time, w *wait) {
-	t.grants = append(t.grants, &grant{owner: w.owner, priority: w.priority, need: w.need, turn: w.turn(), until: now.Add(t.cfg.Grant)})
+	t.grants = append(t.grants, &grant{owner: w.owner, priority: w.priority, need: w.need, turn: w.turn(), until: now.Add(t.cfg.GrantTTL)})
 	w.granted++
 	w.unfitSince = time.Time{}
 	t.event(Granted, w.owner)
@@ -70,14 +70,14 @@
 func (t *Table) lapsed(now time.Time, g *grant) {
 	t.event(GrantLapsed, g.owner)
 	a := t.askers[g.owner]
-	if g.until.Add(-t.cfg.Grant).Before(a.lapsedAt) {
+	if g.until.Add(-t.cfg.GrantTTL).Before(a.lapsedAt) {
 		return
 	}
 	a.lapsedAt = now
 	a.lapses++
 	if a.lapses >= mayLapse {
 		a.setAside = now.Add(setAsideFor(a.lapses - mayLapse))
-		t.event(OwnerSetAside, g.owner)
+		t.event(OwnerDeprioritised, g.owner)
 	}
 }
 
--- a/jobs/room/load_test.go
+++ b/jobs/room/load_test.go
@@ -99,10 +99,10 @@
 	for ; len(c.out) > 0 && c.out[0].at <= l.ms; c.out = c.out[1:] {
 		m := c.out[0]
 		if m.ask != nil {
-			l.table.Ask(l.now, c.name, m.ask)
+			l.table.Request(l.now, c.name, m.ask)
 			continue
 		}
-		l.table.Ordered(l.now, c.name, m.seen)
+		l.table.OrderReceived(l.now, c.name, m.seen)
 		for _, turn := range m.turns {
 			l.order(c, turn)
 		}
@@ -112,7 +112,7 @@
 func (l *load) order(c *caller, turn int) {
 	l.orders++
 	c.heard++
-	if !cores(1).Fits(l.table.Free(c.name, l.free)) {
+	if !cores(1).Fits(l.table.Available(c.name, l.free)) {
 		l.refused++
 		c.due = append(c.due, turn)
 		slices.Sort(c.due)
@@ -121,15 +121,15 @@
 	c.late = append(c.late, l.ms-turn)
 	l.free = l.free.Sub(cores(1))
 	l.ends = append(l.ends, l.ms+runTime)
-	l.table.Took(c.name, l.free)
+	l.table.OrdersAccepted(c.name, l.free)
 }
 
 // tell tells the coordinators to whom room is granted, or all that there is free room.
 func (l *load) tell() {
-	granted := l.table.Share(l.now, l.free)
+	granted := l.table.Allocate(l.now, l.free)
 	for _, c := range l.callers {
 		if slices.Contains(granted, c.name) || l.race && l.freed {
-			l.table.Told(l.now, c.name, l.stamp())
+			l.table.StatusSent(l.now, c.name, l.stamp())
 			c.in = append(c.in, told{at: l.ms + c.far, stamp: l.stamp(), tasks: int(l.room(c.name)), heard: c.heard})
 		}
 	}
@@ -153,7 +153,7 @@
 func uneven(race bool) outcome {
 	l := &load{fixture: newFixture(), race: race, freed: true}
 	l.free = cores(size)
-	l.table.Resize(l.free)
+	l.table.SetCapacity(l.free)
 	for i, every := range []int{8, 10, 13, 16, 20, 20, 25, 25, 32, 40, 45, 50} {
 		l.callers = append(l.callers, &caller{name: fmt.Sprint("c", i), every: every, far: 4 - i/4})
 	}
--- a/jobs/room/random_test.go
+++ b/jobs/room/random_test.go
@@ -39,30 +39,30 @@
 				f.ask(owner, draw(t)...)
 			case 1:
 				need := durable.Resources{CPU: 1000 * rapid.Int64Range(1, 4).Draw(t, "need")}
-				f.table.Ordered(f.now, owner, f.stamp()-rapid.Int64Range(0, 20000).Draw(t, "seen"))
-				if need.Fits(f.table.Free(owner, f.free)) {
+				f.table.OrderReceived(f.now, owner, f.stamp()-rapid.Int64Range(0, 20000).Draw(t, "seen"))
+				if need.Fits(f.table.Available(owner, f.free)) {
 					used, f.free = append(used, need), f.free.Sub(need)
-					f.table.Took(owner, f.free)
+					f.table.OrdersAccepted(owner, f.free)
 				}
 			case 2:
 				if len(used) > 0 {
 					f.free, used = f.free.Add(used[0]), used[1:]
 				}
 			case 3:
-				f.table.Gone(owner)
+				f.table.RemoveOwner(owner)
 			case 4:
 				shrunk := durable.Resources{CPU: 1000 * rapid.Int64Range(5, 10).Draw(t, "whole"), GPU: 2}
 				f.free, whole = f.free.Sub(whole).Add(shrunk), shrunk
-				f.table.Resize(whole)
+				f.table.SetCapacity(whole)
 			}
 			f.share()
 			f.pass(time.Duration(rapid.IntRange(0, 20).Draw(t, "ms")) * time.Millisecond)
-			if open := f.table.Free("stranger", f.free); none.Fits(f.free) && !none.Fits(open) {
+			if open := f.table.Available("stranger", f.free); none.Fits(f.free) && !none.Fits(open) {
 				t.Fatalf("%v is free; less what is granted and kept, %v", f.free, open)
 			}
 			for _, o := range []string{"a", "b", "c"} {
-				if !f.table.Free(o, f.free).Fits(f.free) {
-					t.Fatalf("%s is told of %v; %v is free", o, f.table.Free(o, f.free), f.free)
+				if !f.table.Available(o, f.free).Fits(f.free) {
+					t.Fatalf("%s is told of %v; %v is free", o, f.table.Available(o, f.free), f.free)
 				}
 			}
 		}
--- a/jobs/room/room.go
+++ b/jobs/room/room.go
@@ -20,8 +20,8 @@
 
 // Settings of a Table.
 type Settings struct {
-	Grant time.Duration // how long room is kept for a coordinator that has been told of it
-	Ask   time.Duration // how long an ask stands that is not repeated
+	GrantTTL   time.Duration // how long room is kept for a coordinator that has been told of it
+	RequestTTL time.Duration // how long an ask stands that is not repeated
 }
 
 // Table holds the asks and the grants of one worker.
@@ -39,13 +39,13 @@
 	return &Table{cfg: cfg, askers: make(map[string]*asker)}
 }
 
-// Resize tells the table of the whole room of the backend server: what needs more is passed
+// SetCapacity tells the table of the whole room of the backend server: what needs more is passed
 // over. Before the first it is not known, and nothing is passed over for it.
-func (t *Table) Resize(whole durable.Resources) { t.whole = whole }
+func (t *Table) SetCapacity(whole durable.Resources) { t.whole = whole }
 
-// Ordered takes the word that the owner has sent an order: it has used what it could of the
+// OrderReceived takes the word that the owner has sent an order: it has used what it could of the
 // grants that statuses up to the stamp told it of. Took follows if anything is taken.
-func (t *Table) Ordered(now time.Time, owner string, seen int64) {
+func (t *Table) OrderReceived(now time.Time, owner string, seen int64) {
 	a := t.askers[owner]
 	if a == nil {
 		return
@@ -56,14 +56,14 @@
 	before := len(t.grants)
 	t.endGrants(func(g *grant) bool { return g.owner == owner && g.stamp != 0 && g.stamp <= seen })
 	if len(t.grants) < before {
-		a.answered(now, t.cfg.Grant)
+		a.answered(now, t.cfg.GrantTTL)
 	}
 }
 
-// Took takes the word that orders of the owner have been taken, which leaves what is free.
+// OrdersAccepted takes the word that orders of the owner have been taken, which leaves what is free.
 // They may have been on their way when its grants were made: then they used those, and
 // nobody else's.
-func (t *Table) Took(owner string, free durable.Resources) {
+func (t *Table) OrdersAccepted(owner string, free durable.Resources) {
 	t.shrink(free, func(g *grant) bool { return g.owner == owner })
 	if a := t.askers[owner]; a != nil && !a.returned.IsZero() {
 		a.returned = time.Time{}
@@ -71,20 +71,20 @@
 	}
 }
 
-// Gone forgets the owner's asks and grants: its connection is lost.
-func (t *Table) Gone(owner string) {
+// RemoveOwner forgets the owner's asks and grants: its connection is lost.
+func (t *Table) RemoveOwner(owner string) {
 	t.endGrants(func(g *grant) bool { return g.owner == owner })
 	delete(t.askers, owner)
 }
 
-// Share grants what is free and not granted, in the order of the turns of what waits, and
+// Allocate grants what is free and not granted, in the order of the turns of what waits, and
 // ends what is over. It returns the owners to whom a new Free is to be told.
-func (t *Table) Share(now time.Time, free durable.Resources) []string {
+func (t *Table) Allocate(now time.Time, free durable.Resources) []string {
 	t.lapse(now)
 	t.dropAsks(now)
 	t.shrink(free, func(*grant) bool { return true })
 	t.kept = durable.Resources{}
-	if !t.Asked() {
+	if !t.Sharing() {
 		return nil
 	}
 	rest := free.Sub(t.granted(""))
@@ -111,24 +111,24 @@
 	return t.first(now, func(w *wait) bool { return w.need.Fits(rest) })
 }
 
-// Free returns what the owner may use of what is free: all but what is granted to others,
+// Available returns what the owner may use of what is free: all but what is granted to others,
 // and what is kept for what comes first.
-func (t *Table) Free(owner string, free durable.Resources) durable.Resources {
+func (t *Table) Available(owner string, free durable.Resources) durable.Resources {
 	return free.Sub(t.granted(owner)).Sub(t.kept)
 }
 
-// Told notes that a status with the stamp tells the owner of what Free returns.
-func (t *Table) Told(now time.Time, owner string, stamp int64) {
+// StatusSent notes that a status with the stamp tells the owner of what Free returns.
+func (t *Table) StatusSent(now time.Time, owner string, stamp int64) {
 	for _, g := range t.grants {
 		if g.owner == owner && g.stamp == 0 {
 			g.stamp = stamp
-			g.until = now.Add(t.cfg.Grant)
+			g.until = now.Add(t.cfg.GrantTTL)
 		}
 	}
 }
 
-// Asked returns whether anybody asks, or room is still granted.
-func (t *Table) Asked() bool {
+// Sharing returns whether anybody asks, or room is still granted.
+func (t *Table) Sharing() bool {
 	if len(t.grants) > 0 {
 		return true
 	}
@@ -140,8 +140,8 @@
 	return false
 }
 
-// Waiting returns the work that others than the owner wait to start here, by priority.
-func (t *Table) Waiting(now time.Time, owner string) []wire.WaitingWork {
+// WaitingElsewhere returns the work that others than the owner wait to start here, by priority.
+func (t *Table) WaitingElsewhere(now time.Time, owner string) []wire.WaitingWork {
 	var rows []wire.WaitingWork
 	for name, a := range t.askers {
 		if name == owner {
--- a/jobs/room/room_test.go
+++ b/jobs/room/room_test.go
@@ -34,7 +34,7 @@
 	defaults := config.DefaultRoom()
 	f := &fixture{cfg: defaults.Core(), now: time.Unix(1000, 0), free: cores(10), seen: make(map[string]int64)}
 	f.table = room.New(f.cfg)
-	f.table.Resize(cores(10))
+	f.table.SetCapacity(cores(10))
 	return f
 }
 
@@ -53,15 +53,15 @@
 func (f *fixture) ask(owner string, rows ...wire.RoomWait) *wire.RoomAsk {
 	f.seq++
 	m := &wire.RoomAsk{Seq: f.seq, Seen: f.seen[owner], Waits: rows}
-	f.table.Ask(f.now, owner, m)
+	f.table.Request(f.now, owner, m)
 	return m
 }
 
 // share shares what is free, and tells those who are granted some.
 func (f *fixture) share() []string {
-	told := f.table.Share(f.now, f.free)
+	told := f.table.Allocate(f.now, f.free)
 	for _, owner := range told {
-		f.table.Told(f.now, owner, f.stamp())
+		f.table.StatusSent(f.now, owner, f.stamp())
 	}
 	return told
 }
@@ -73,21 +73,21 @@
 // use has the owner order tasks of so many cores with what it was told by now; they are taken.
 func (f *fixture) use(owner string, n int64) {
 	f.seen[owner] = f.stamp()
-	f.table.Ordered(f.now, owner, f.seen[owner])
+	f.table.OrderReceived(f.now, owner, f.seen[owner])
 	f.free = f.free.Sub(cores(n))
-	f.table.Took(owner, f.free)
+	f.table.OrdersAccepted(owner, f.free)
 }
 
 // room returns how many cores the owner may use.
-func (f *fixture) room(owner string) int64 { return f.table.Free(owner, f.free).CPU / 1000 }
+func (f *fixture) room(owner string) int64 { return f.table.Available(owner, f.free).CPU / 1000 }
 
 var _ = Describe("room", func() {
 	It("is everybody's while nobody asks", func() {
 		f := newFixture()
 		Expect(f.share()).To(BeEmpty())
 		Expect(f.room("a")).To(Equal(int64(10)))
-		Expect(f.table.Asked()).To(BeFalse())
-		Expect(f.table.Waiting(f.now, "a")).To(BeEmpty())
+		Expect(f.table.Sharing()).To(BeFalse())
+		Expect(f.table.WaitingElsewhere(f.now, "a")).To(BeEmpty())
 	})
 
 	It("is granted by turn, whoever asks first", func() {
@@ -149,8 +149,8 @@
 		second.Priority = 1
 		f.ask("b", waits(2, 1, 100, 50), second)
 		f.share()
-		Expect(f.table.Waiting(f.now, "b")).To(Equal([]wire.WaitingWork{{FirstMS: 20, LastMS: 40, Work: 300}}))
-		Expect(f.table.Waiting(f.now, "c")).To(Equal([]wire.WaitingWork{
+		Expect(f.table.WaitingElsewhere(f.now, "b")).To(Equal([]wire.WaitingWork{{FirstMS: 20, LastMS: 40, Work: 300}}))
+		Expect(f.table.WaitingElsewhere(f.now, "c")).To(Equal([]wire.WaitingWork{
 			{FirstMS: 20, LastMS: 150, Work: 500}, {Priority: 1, FirstMS: 15, LastMS: 15, Work: 100},
 		}))
 	})
@@ -173,7 +173,7 @@
 		for _, first := range []int64{-far, 30, 40, far} {
 			f.ask(fmt.Sprint("of ", first), waits(1, 1, first, 0))
 		}
-		Expect(f.table.Waiting(f.now, "a")).To(HaveExactElements(
+		Expect(f.table.WaitingElsewhere(f.now, "a")).To(HaveExactElements(
 			HaveField("FirstMS", int64(-far)),
 			And(HaveField("FirstMS", int64(30)), HaveField("LastMS", int64(40))),
 			HaveField("FirstMS", int64(far))))
@@ -181,13 +181,13 @@
 
 	It("ends with the connection of its owner", func() {
 		f := held()
-		f.table.Gone("a")
+		f.table.RemoveOwner("a")
 		Expect(f.share()).To(Equal([]string{"b"}))
 	})
 
 	It("that is lost ends by itself", func() {
 		f := held()
-		f.pass(f.cfg.Grant - time.Millisecond)
+		f.pass(f.cfg.GrantTTL - time.Millisecond)
 		Expect(f.share()).To(BeEmpty())
 		f.pass(time.Millisecond)
 		f.ask("a")
@@ -209,9 +209,9 @@
 
 	It("is not ended by word of an earlier status, late or twice", func() {
 		f := held()
-		f.table.Ordered(f.now, "a", f.stamp()-1)
-		f.table.Ordered(f.now, "a", f.stamp()-1)
-		f.table.Ordered(f.now, "b", f.stamp())
+		f.table.OrderReceived(f.now, "a", f.stamp()-1)
+		f.table.OrderReceived(f.now, "a", f.stamp()-1)
+		f.table.OrderReceived(f.now, "b", f.stamp())
 		Expect(f.share()).To(BeEmpty())
 		Expect(f.room("b")).To(BeZero())
 	})
@@ -219,8 +219,8 @@
 	It("is not ended by word of a status that came before it was told", func() {
 		f := newFixture()
 		f.ask("a", waits(5, 2, 0, 0))
-		f.table.Share(f.now, f.free)
-		f.table.Ordered(f.now, "a", f.stamp()-1)
+		f.table.Allocate(f.now, f.free)
+		f.table.OrderReceived(f.now, "a", f.stamp()-1)
 		Expect(f.room("b")).To(BeZero())
 	})
 
@@ -240,7 +240,7 @@
 		f.ask("b", waits(1, 2, 10, 0))
 		f.share()
 		f.free = cores(2)
-		f.table.Took("a", f.free)
+		f.table.OrdersAccepted("a", f.free)
 		f.share()
 		Expect(f.room("a")).To(BeZero())
 		Expect(f.room("b")).To(Equal(int64(2)))
@@ -258,7 +258,7 @@
 		f.share()
 		f.free = durable.Resources{}
 		Expect(f.share()).To(BeEmpty())
-		Expect(f.table.Free("a", cores(7))).To(Equal(cores(7)))
+		Expect(f.table.Available("a", cores(7))).To(Equal(cores(7)))
 	})
 })
 
@@ -267,7 +267,7 @@
 	lapses := func(f *fixture) []string {
 		told := f.share()
 		f.use("b", 0)
-		f.pass(f.cfg.Grant)
+		f.pass(f.cfg.GrantTTL)
 		f.ask("a", waits(1, 2, -100, 0))
 		f.ask("b", waits(1, 2, 500, 0))
 		return told
@@ -292,7 +292,7 @@
 		Expect(times).To(Equal([]int{7, 14, 27, 54, 107, 107, 107}), "grants to b between two tries of a")
 		for told := f.share(); told[0] == "b"; told = f.share() {
 			f.use("b", 0)
-			f.pass(f.cfg.Grant)
+			f.pass(f.cfg.GrantTTL)
 			f.ask("a", waits(1, 2, -100, 0))
 			f.ask("b", waits(1, 2, 500, 0))
 		}
@@ -322,10 +322,10 @@
 	It("asks for nothing after its ask is over", func() {
 		f := newFixture()
 		f.ask("a", waits(1, 11, 0, 0))
-		Expect(f.table.Asked()).To(BeTrue())
-		f.pass(f.cfg.Ask)
+		Expect(f.table.Sharing()).To(BeTrue())
+		f.pass(f.cfg.RequestTTL)
 		f.share()
-		Expect(f.table.Asked()).To(BeFalse())
+		Expect(f.table.Sharing()).To(BeFalse())
 	})
 })
 
@@ -352,8 +352,8 @@
 		f := newFixture()
 		f.ask("a", waits(1, 2, 0, 0))
 		f.share()
-		f.table.Ordered(f.now, "a", f.stamp())
-		f.pass(f.cfg.Grant)
+		f.table.OrderReceived(f.now, "a", f.stamp())
+		f.pass(f.cfg.GrantTTL)
 		f.use("a", 2)
 		Expect(f.table.Events()).To(Equal([]room.Event{{What: room.Granted, Owner: "a"}}))
 	})
@@ -377,7 +377,7 @@
 		m := f.ask("a", waits(2, 1, 0, 0))
 		f.share()
 		f.use("a", 1)
-		f.table.Ask(f.now, "a", m)
+		f.table.Request(f.now, "a", m)
 		f.free = cores(10)
 		f.share()
 		Expect(f.room("b")).To(Equal(int64(9)))
@@ -387,12 +387,12 @@
 		f := newFixture()
 		late := f.ask("a", waits(3, 2, 0, 0))
 		f.ask("a", waits(1, 1, 0, 0))
-		f.table.Ask(f.now, "a", late)
+		f.table.Request(f.now, "a", late)
 		f.share()
 		Expect(f.room("b")).To(Equal(int64(9)))
 		f.ask("a")
-		f.table.Ask(f.now, "a", late)
-		Expect(f.table.Asked()).To(BeFalse())
+		f.table.Request(f.now, "a", late)
+		Expect(f.table.Sharing()).To(BeFalse())
 	})
 
 	It("for more than the whole server blocks nobody", func() {
@@ -419,7 +419,7 @@
 					granted++
 				}
 			}
-			if f.table.Free("b", f.free).CPU > 0 {
+			if f.table.Available("b", f.free).CPU > 0 {
 				f.use("b", 1)
 			}
 			f.free = f.free.Add(cores(1)) // an end
@@ -435,9 +435,9 @@
 		negative.Need = durable.Resources{CPU: -1000, Memory: 1}
 		f.free.Memory = 1 << 40
 		f.ask("a", odd, negative)
-		f.table.Resize(f.free)
+		f.table.SetCapacity(f.free)
 		f.share()
 		Expect(f.room("b")).To(Equal(int64(10)))
-		Expect(f.table.Waiting(f.now, "b")).To(BeEmpty())
+		Expect(f.table.WaitingElsewhere(f.now, "b")).To(BeEmpty())
 	})
 })
--- a/jobs/runtable/owners.go
+++ b/jobs/runtable/owners.go
@@ -39,7 +39,7 @@
 	for name, o := range t.owners {
 		if o.member == heard.member && o.number < heard.number {
 			delete(t.owners, name)
-			t.room.Gone(name)
+			t.room.RemoveOwner(name)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 // run on.
 func (t *Table) OwnerDown(_ time.Time, name string) {
 	delete(t.owners, name)
-	t.room.Gone(name)
+	t.room.RemoveOwner(name)
 }
 
 // Heartbeat renews a coordinator's leases.
--- a/jobs/runtable/shares.go
+++ b/jobs/runtable/shares.go
@@ -11,21 +11,21 @@
 // Ask takes what waits for room at a coordinator.
 func (t *Table) Ask(now time.Time, name string, m *wire.RoomAsk) {
 	if t.owners[name] != nil {
-		t.room.Ask(now, name, m)
+		t.room.Request(now, name, m)
 	}
 }
 
 // shareRoom grants what is free to those who ask, and has them told. Once nobody asks any
 // more, all are told of all that is free.
 func (t *Table) shareRoom(now time.Time) {
-	t.room.Resize(t.identity.Capacity)
-	for _, name := range t.room.Share(now, t.grantable(now)) {
+	t.room.SetCapacity(t.identity.Capacity)
+	for _, name := range t.room.Allocate(now, t.grantable(now)) {
 		t.touch(name, t.owners[name])
 	}
 	for _, e := range t.room.Events() {
 		t.noteRoom(e)
 	}
-	shared := t.room.Asked()
+	shared := t.room.Sharing()
 	if t.shared && !shared {
 		t.touchOwners()
 	}
@@ -44,7 +44,7 @@
 // room, those get one to whom it is granted; the others hear of it in the answer to their next
 // heartbeat.
 func (t *Table) touchFreed() {
-	if !t.room.Asked() {
+	if !t.room.Sharing() {
 		t.touchOwners()
 		return
 	}
@@ -53,10 +53,10 @@
 
 // roomDecisions name the events of package room.
 var roomDecisions = [...]Decision{
-	room.Granted:       GrantMade,
-	room.GrantUsed:     GrantUsed,
-	room.GrantLapsed:   GrantLapsed,
-	room.OwnerSetAside: OwnerSetAside,
+	room.Granted:            GrantMade,
+	room.GrantUsed:          GrantUsed,
+	room.GrantLapsed:        GrantLapsed,
+	room.OwnerDeprioritised: OwnerSetAside,
 }
 
 func (t *Table) noteRoom(e room.Event) {
--- a/jobs/runtable/shares_test.go
+++ b/jobs/runtable/shares_test.go
@@ -320,7 +320,7 @@
 		Expect(v.Asks).To(ConsistOf(
 			And(HaveField("Owner", "b"), HaveField("Tasks", 1), HaveField("Need", int64(1500))),
 			And(HaveField("Owner", "c"), HaveField("Tasks", 0))))
-		Expect(v.Grants).To(ConsistOf(And(HaveField("Owner", "c"), HaveField("WasTold", true))))
+		Expect(v.Grants).To(ConsistOf(And(HaveField("Owner", "c"), HaveField("Advertised", true))))
 	})
 
 	It("says for the log what it granted, and what became of it", func() {
--- a/jobs/runtable/starts.go
+++ b/jobs/runtable/starts.go
@@ -20,13 +20,13 @@
 	o.startSeq = m.Seq
 	t.touch(name, o)
 	t.shareRoom(now) // what has come free in the same moment is not for who orders first
-	t.room.Ordered(now, name, m.Seen)
+	t.room.OrderReceived(now, name, m.Seen)
 	taken := false
 	for i := range m.Runs {
 		taken = t.order(now, name, &m.Runs[i]) || taken
 	}
 	if taken {
-		t.room.Took(name, t.free())
+		t.room.OrdersAccepted(name, t.free())
 	}
 }
 
@@ -65,7 +65,7 @@
 		return "suspect_there"
 	case !order.Need.Fits(t.free()), now.Sub(t.noRoomAt) < noRoomPause:
 		return reasonBusy
-	case !order.Need.Fits(t.room.Free(name, t.free())):
+	case !order.Need.Fits(t.room.Available(name, t.free())):
 		return reasonGranted
 	}
 	return ""
--- a/jobs/runtable/status.go
+++ b/jobs/runtable/status.go
@@ -42,7 +42,7 @@
 		}
 		o.dirty = false
 		s := t.status(now, name, o, slowness)
-		t.room.Told(now, name, s.Stamp)
+		t.room.StatusSent(now, name, s.Stamp)
 		t.send(name, s)
 	}
 	t.dirty = t.dirty[:0]
@@ -57,8 +57,8 @@
 		HeartbeatSeq: o.heartbeatSeq,
 		StartSeq:     o.startSeq,
 		Ready:        t.canStart(),
-		Free:         t.room.Free(name, t.free()),
-		Waiting:      t.room.Waiting(now, name),
+		Free:         t.room.Available(name, t.free()),
+		Waiting:      t.room.WaitingElsewhere(now, name),
 		Fenced:       o.fenced,
 	}
 	o.fenced = nil
--- a/jobs/runtable/view.go
+++ b/jobs/runtable/view.go
@@ -19,9 +19,9 @@
 	Free       int64  `json:"free"`        // the same; may be negative
 	Runs       int    `json:"runs"`
 	// Coordinators are the processes behind the names of connections.
-	Coordinators map[string]string `json:"coordinators"`
-	Asks         []room.AskView    `json:"asks"`
-	Grants       []room.GrantView  `json:"grants"`
+	Coordinators map[string]string  `json:"coordinators"`
+	Asks         []room.RequestView `json:"asks"`
+	Grants       []room.GrantView   `json:"grants"`
 }
 
 // View returns what the table believes.
--- a/jobs/scheduler/loadplay_test.go
+++ b/jobs/scheduler/loadplay_test.go
@@ -404,7 +404,7 @@
 		if w.free.CPU != loadCapacity {
 			out = append(out, fmt.Sprintf("%s has %d free", w.name, w.free.CPU))
 		}
-		if w.room.Asked() {
+		if w.room.Sharing() {
 			out = append(out, w.name+" is asked for room")
 		}
 	}
--- a/jobs/scheduler/loadworker_test.go
+++ b/jobs/scheduler/loadworker_test.go
@@ -56,7 +56,7 @@
 func newRoom(whole durable.Resources) *room.Table {
 	cfg := config.DefaultRoom()
 	t := room.New(cfg.Core())
-	t.Resize(whole)
+	t.SetCapacity(whole)
 	return t
 }
 
@@ -90,7 +90,7 @@
 // lost ends the connection to the coordinator.
 func (w *loadWorker) lost(k *loadCore) {
 	w.links[k.number].up = false
-	w.room.Gone(k.name)
+	w.room.RemoveOwner(k.name)
 	w.settle(nil, false)
 }
 
@@ -112,7 +112,7 @@
 		w.answer(k, m)
 	case *wire.RoomAsk:
 		w.p.part().asks++
-		w.room.Ask(w.p.now, k.name, m)
+		w.room.Request(w.p.now, k.name, m)
 		w.settle(nil, false)
 	}
 }
@@ -121,10 +121,10 @@
 func (w *loadWorker) start(l *loadLink, m *wire.StartRuns) {
 	p, k := w.p, l.core
 	l.startSeq = m.Seq
-	w.room.Ordered(p.now, k.name, m.Seen)
+	w.room.OrderReceived(p.now, k.name, m.Seen)
 	for _, order := range m.Runs {
 		p.part().sent++
-		if !w.ready() || !order.Need.Fits(w.room.Free(k.name, w.free)) {
+		if !w.ready() || !order.Need.Fits(w.room.Available(k.name, w.free)) {
 			p.part().handedBack++
 			w.handBack(l, order.Ref)
 			continue
@@ -132,7 +132,7 @@
 		w.free = w.free.Sub(order.Need)
 		w.run(loadRun{k, order, p.now})
 	}
-	w.room.Took(k.name, w.free)
+	w.room.OrdersAccepted(k.name, w.free)
 	w.settle([]*loadCore{k}, false)
 }
 
@@ -223,9 +223,9 @@
 	if !w.ready() {
 		free = durable.Resources{}
 	}
-	granted := w.room.Share(w.p.now, free)
-	all := !w.room.Asked() && (freed || w.shared)
-	w.shared = w.room.Asked()
+	granted := w.room.Allocate(w.p.now, free)
+	all := !w.room.Sharing() && (freed || w.shared)
+	w.shared = w.room.Sharing()
 	for _, l := range w.links {
 		if l.up && (all || slices.Contains(to, l.core) || slices.Contains(granted, l.core.name)) {
 			w.status(l)
@@ -244,14 +244,14 @@
 		HeartbeatSeq: l.beatSeq,
 		StartSeq:     l.startSeq,
 		Ready:        w.ready(),
-		Free:         w.room.Free(k.name, w.free),
+		Free:         w.room.Available(k.name, w.free),
 		TimeFactor:   uint32(100 * w.factor),
-		Waiting:      w.room.Waiting(p.now, k.name),
+		Waiting:      w.room.WaitingElsewhere(p.now, k.name),
 	}
 	if !l.told {
 		l.told = true
 		m.Identity = &wire.BackendIdentity{Instance: w.name, Service: "s", Labels: []string{rackOf(w.number)}, Capacity: durable.Resources{CPU: loadCapacity, Memory: 1 << 20}}
 	}
-	w.room.Told(p.now, k.name, m.Stamp)
+	w.room.StatusSent(p.now, k.name, m.Stamp)
 	w.send(k, func(now time.Time) { k.core.Status(now, w.name, m) })
 }
