--- a/jobs/coordinator/coordinator.go
+++ b/jobs/coordinator/coordinator.go
@@ -164,7 +164,7 @@
 	go c.loop.Run(c.halt.Done(), tickEvery, loop.Steps[event]{Clock: c.clock, Resumed: c.resumed, Late: c.late, Handle: c.handle, Tick: c.tick, Perform: c.perform})
 	go c.keepJoining()
 	go c.followMembers()
-	go c.store.Operators(c.halt, operatorsPause, c.operatorsHeard)
+	go c.store.WatchOperators(c.halt, operatorsPause, c.operatorsHeard)
 }
 
 // resumed takes the end of a suspension of the box. All leases count that time by our clock,
--- a/jobs/coordinator/members.go
+++ b/jobs/coordinator/members.go
@@ -24,7 +24,7 @@
 func (c *Coordinator) followMembers() {
 	k := registration.NewKeeper(c.store, c.log)
 	first := true
-	c.store.Members(c.halt, func(members []store.Member) {
+	c.store.WatchMembers(c.halt, func(members []store.Member) {
 		c.loop.Post(membersHeard{members})
 		if !first {
 			return
--- a/jobs/coordinator/takeover.go
+++ b/jobs/coordinator/takeover.go
@@ -52,7 +52,7 @@
 	if err := c.store.Fence(call, partition, epoch); err != nil {
 		return nil, err
 	}
-	return c.store.Newest(call, partition)
+	return c.store.NewestRecords(call, partition)
 }
 
 // collect groups the records of a partition by job. One that cannot be read is
--- a/jobs/coordinator/writer.go
+++ b/jobs/coordinator/writer.go
@@ -26,7 +26,7 @@
 }
 
 func (c *Coordinator) write(ctx context.Context, w *writer, partition uint32, epoch uint64) {
-	a := &appender{store: c.store, limit: c.cfg.Ownership.AppendLimit.D(), appending: store.NewAppending(), log: c.log}
+	a := &appender{store: c.store, limit: c.cfg.Ownership.AppendLimit.D(), appending: store.NewAppendTracker(), log: c.log}
 	for {
 		select {
 		case <-ctx.Done():
@@ -45,7 +45,7 @@
 type appender struct {
 	store     store.Store
 	limit     time.Duration // for one call
-	appending *store.Appending
+	appending *store.AppendTracker
 	log       *logging.Log
 }
 
@@ -56,14 +56,14 @@
 func (a *appender) append(ctx context.Context, c scheduler.Commit) scheduler.CommitResult {
 	for ctx.Err() == nil {
 		err := a.once(ctx, c)
-		switch a.appending.Answered(err) {
-		case store.Done:
+		switch a.appending.HandleResult(err) {
+		case store.AppendDone:
 			return scheduler.CommitOK
-		case store.Refused:
+		case store.AppendRefused:
 			return scheduler.CommitRefused
-		case store.Fenced:
+		case store.AppendFenced:
 			return scheduler.CommitFenced
-		case store.Lost:
+		case store.AppendUncertain:
 			return scheduler.CommitLost
 		}
 		a.log.Warn("append_repeated", zap.Uint32("partition", c.Partition), zap.Uint64("epoch", c.Epoch),
--- a/jobs/durable/durable.go
+++ b/jobs/durable/durable.go
@@ -107,8 +107,8 @@
 	return Resources{max(r.CPU, o.CPU), max(r.Memory, o.Memory), max(r.GPU, o.GPU)}
 }
 
-// Times returns how many times r fits into the room, at most mostTimes.
-func (r Resources) Times(room Resources) int64 {
+// CountIn returns how many times r fits into the room, at most mostTimes.
+func (r Resources) CountIn(room Resources) int64 {
 	n := int64(mostTimes)
 	for _, part := range [...]struct{ need, room int64 }{{r.CPU, room.CPU}, {r.Memory, room.Memory}, {r.GPU, room.GPU}} {
 		if part.need > 0 {
--- a/jobs/durable/golden_test.go
+++ b/jobs/durable/golden_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	records := []durable.Record{submission, progress, crashes, durable.ForgetSubmission(s.ID), durable.ForgetProgress(s.ID)}
+	records := []durable.Record{submission, progress, crashes, durable.SubmissionTombstone(s.ID), durable.ProgressTombstone(s.ID)}
 	var out strings.Builder
 	for _, r := range records {
 		fmt.Fprintf(&out, "%s %x\n", r.Key, r.Value)
--- a/jobs/durable/record.go
+++ b/jobs/durable/record.go
@@ -24,9 +24,9 @@
 	return Record{string(s.ID) + string(submissionSuffix), value}, errs.Wrap(err)
 }
 
-// ForgetSubmission returns the record that removes a job's content; its
+// SubmissionTombstone returns the record that removes a job's content; its
 // progress stays.
-func ForgetSubmission(id JobID) Record {
+func SubmissionTombstone(id JobID) Record {
 	return Record{Key: string(id) + string(submissionSuffix)}
 }
 
@@ -40,8 +40,8 @@
 	return Record{string(id) + string(progressSuffix), value}, errs.Wrap(err)
 }
 
-// ForgetProgress returns the record that removes the last of a job.
-func ForgetProgress(id JobID) Record {
+// ProgressTombstone returns the record that removes the last of a job.
+func ProgressTombstone(id JobID) Record {
 	return Record{Key: string(id) + string(progressSuffix)}
 }
 
--- a/jobs/fakestore/store.go
+++ b/jobs/fakestore/store.go
@@ -107,8 +107,8 @@
 	return err
 }
 
-// Newest implements store.Store.
-func (s *Store) Newest(_ context.Context, partition uint32) ([]durable.Record, error) {
+// NewestRecords implements store.Store.
+func (s *Store) NewestRecords(_ context.Context, partition uint32) ([]durable.Record, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.refusing {
@@ -136,8 +136,8 @@
 	return len(s.state.registered)
 }
 
-// Members implements store.Store.
-func (s *Store) Members(ctx context.Context, f func([]store.Member)) {
+// WatchMembers implements store.Store.
+func (s *Store) WatchMembers(ctx context.Context, f func([]store.Member)) {
 	s.follow(ctx, func() func() {
 		if s.hidden {
 			return func() {}
@@ -147,8 +147,8 @@
 	})
 }
 
-// Operators implements store.Store.
-func (s *Store) Operators(ctx context.Context, _ time.Duration, f func(routing.News)) {
+// WatchOperators implements store.Store.
+func (s *Store) WatchOperators(ctx context.Context, _ time.Duration, f func(routing.News)) {
 	s.follow(ctx, func() func() {
 		if s.refusing {
 			return func() {}
--- a/jobs/promises/coordinator_test.go
+++ b/jobs/promises/coordinator_test.go
@@ -30,7 +30,7 @@
 	core    *scheduler.Core
 	owned   *ownership.Table
 	epochs  map[uint32]uint64
-	append  map[uint32]*store.Appending
+	append  map[uint32]*store.AppendTracker
 	loading map[uint32]int
 	loads   int
 	conns   map[string]*conn
@@ -189,7 +189,7 @@
 		n.w.broken("malformed records %v", malformed)
 	}
 	n.epochs[p] = epoch
-	n.append[p] = store.NewAppending()
+	n.append[p] = store.NewAppendTracker()
 	n.core.Acquire(n.now(), p, epoch, stored)
 	n.core.Suspend(n.now(), p, !n.owned.Valid(n.now()))
 	n.w.counts["takeovers"]++
@@ -221,21 +221,21 @@
 
 var errSilence = fmt.Errorf("no answer")
 
-func (n *coordinatorNode) committed(a *store.Appending, c scheduler.Commit, err error) {
+func (n *coordinatorNode) committed(a *store.AppendTracker, c scheduler.Commit, err error) {
 	for _, r := range c.Records {
 		n.w.trace(n.incarnation(), r.Key, "commit part %d number %d: %x -> %v", c.Partition, a.Number(), r.Value, err)
 	}
-	switch a.Answered(err) {
-	case store.Open:
+	switch a.HandleResult(err) {
+	case store.AppendPending:
 		n.later(40*time.Millisecond, func() {
 			if n.append[c.Partition] == a {
 				n.commit(c)
 			}
 		})
 		return
-	case store.Done:
+	case store.AppendDone:
 		n.core.Committed(n.now(), c.Partition, c.Epoch, scheduler.CommitOK)
-	case store.Refused:
+	case store.AppendRefused:
 		n.core.Committed(n.now(), c.Partition, c.Epoch, scheduler.CommitRefused)
 	default:
 		n.core.Committed(n.now(), c.Partition, c.Epoch, scheduler.CommitFenced)
@@ -348,7 +348,7 @@
 	n.core = scheduler.New(n.w.cfg.Core(n.w.dataCentreOf(0)), n.w.random.Uint64())
 	n.owned = ownership.New(1200 * time.Millisecond)
 	n.epochs = make(map[uint32]uint64)
-	n.append = make(map[uint32]*store.Appending)
+	n.append = make(map[uint32]*store.AppendTracker)
 	n.loading = make(map[uint32]int)
 	n.conns = make(map[string]*conn)
 	n.dialing = make(map[string]bool)
--- a/jobs/runtable/outcomes.go
+++ b/jobs/runtable/outcomes.go
@@ -47,7 +47,7 @@
 	var running []speed.Running
 	for _, ref := range t.refsWhere(func(r *run) bool { return r.state == runRunning && r.measured() }) {
 		r := t.runs[ref]
-		running = append(running, speed.Running{AtLeast: r.ratio(r.expected(now)), Before: r.before})
+		running = append(running, speed.Running{MinRatio: r.ratio(r.expected(now)), EndedBefore: r.before})
 	}
 	return t.outcomes.speed.Slowness(running)
 }
--- a/jobs/scheduler/commits.go
+++ b/jobs/scheduler/commits.go
@@ -90,7 +90,7 @@
 		r, err := durable.ProgressRecord(j.id, j.progress())
 		c.add(d, r, err)
 		if j.state.Final() {
-			c.add(d, durable.ForgetSubmission(j.id), nil)
+			c.add(d, durable.SubmissionTombstone(j.id), nil)
 		}
 		d.batch.changed = append(d.batch.changed, changedJob{j, j.state, j.acks, j.cancels})
 		j.acks, j.cancels = nil, nil
@@ -116,7 +116,7 @@
 			return
 		}
 		if j.stored.Final() && !j.dirty && now.Sub(j.final) > c.cfg.KeepFinal {
-			d.commit.Records = append(d.commit.Records, durable.ForgetProgress(id))
+			d.commit.Records = append(d.commit.Records, durable.ProgressTombstone(id))
 			d.batch.forgotten = append(d.batch.forgotten, id)
 		}
 	}
--- a/jobs/scheduler/forecast.go
+++ b/jobs/scheduler/forecast.go
@@ -64,7 +64,7 @@
 		if s.short && !cand.fresh || !allowed(t, cand.w) {
 			continue
 		}
-		n += need.Times(cand.free)
+		n += need.CountIn(cand.free)
 	}
 	return n - int64(taken/float64(max(1, need.CPU)))
 }
--- a/jobs/scheduler/unequal_test.go
+++ b/jobs/scheduler/unequal_test.go
@@ -93,7 +93,7 @@
 	w := &p.workers[i]
 	var running []speed.Running
 	for _, r := range w.running {
-		running = append(running, speed.Running{AtLeast: r.ratio(r.expected(p.now)), Before: r.before})
+		running = append(running, speed.Running{MinRatio: r.ratio(r.expected(p.now)), EndedBefore: r.before})
 	}
 	p.core.Status(p.now, workerName(i), &wire.WorkerStatus{
 		Stamp: 1, Ready: true, StartSeq: w.seq, Free: durable.Resources{CPU: w.free, Memory: 1 << 20},
--- a/jobs/speed/speed.go
+++ b/jobs/speed/speed.go
@@ -23,8 +23,8 @@
 
 // Running is a run that goes on.
 type Running struct {
-	AtLeast float64 // the least that its time over its estimate will be
-	Before  uint64  // Meter.Runs when it began
+	MinRatio    float64 // the least that its time over its estimate will be
+	EndedBefore uint64  // Meter.Runs when it began
 }
 
 // apartX is how many times as long as usual, or as short, the latest runs take when the
@@ -93,9 +93,9 @@
 func (m *Meter) Slowness(running []Running) float64 {
 	latest := m.latest
 	for _, r := range running {
-		x := logarithm(r.AtLeast) - m.usual.value
+		x := logarithm(r.MinRatio) - m.usual.value
 		if x > latest {
-			latest = follow(latest, x, latestWeight*math.Pow(1-latestWeight, float64(m.runs-r.Before)))
+			latest = follow(latest, x, latestWeight*math.Pow(1-latestWeight, float64(m.runs-r.EndedBefore)))
 		}
 	}
 	return math.Exp(latest)
--- a/jobs/speed/speed_test.go
+++ b/jobs/speed/speed_test.go
@@ -146,7 +146,7 @@
 	s.run(400, perS)
 	going := func(n int, x float64) (out []speed.Running) {
 		for range n {
-			out = append(out, speed.Running{AtLeast: s.factor * x, Before: s.meter.Runs()})
+			out = append(out, speed.Running{MinRatio: s.factor * x, EndedBefore: s.meter.Runs()})
 		}
 		return out
 	}
--- a/jobs/store/store.go
+++ b/jobs/store/store.go
@@ -103,15 +103,15 @@
 	Fence(ctx context.Context, partition uint32, epoch uint64) error
 	// Append adds the records, all or none, once for each epoch and number.
 	Append(ctx context.Context, partition uint32, epoch, number uint64, records []durable.Record) error
-	// Newest returns the newest record of each key of the partition.
-	Newest(ctx context.Context, partition uint32) ([]durable.Record, error)
+	// NewestRecords returns the newest record of each key of the partition.
+	NewestRecords(ctx context.Context, partition uint32) ([]durable.Record, error)
 	// Register makes the process known to all.
 	Register(ctx context.Context, m Member) error
-	// Members calls f with the changes of the registered processes, first with
+	// WatchMembers calls f with the changes of the registered processes, first with
 	// all of them, until ctx ends.
-	Members(ctx context.Context, f func(joined []Member))
-	// Operators calls f with what operators have put in force: first with all that stands,
+	WatchMembers(ctx context.Context, f func(joined []Member))
+	// WatchOperators calls f with what operators have put in force: first with all that stands,
 	// then after each reading that the store has answered, also if it brought nothing new,
 	// until ctx ends. At the end of an outage pause is the time between two tries.
-	Operators(ctx context.Context, pause time.Duration, f func(routing.News))
+	WatchOperators(ctx context.Context, pause time.Duration, f func(routing.News))
 }
--- a/jobs/worker/operators.go
+++ b/jobs/worker/operators.go
@@ -42,6 +42,6 @@
 	w.stopReading = stop
 	go func() {
 		loop.Sleep(ctx, rand.N(operatorsPause))
-		w.store.Operators(ctx, operatorsPause, func(n routing.News) { w.loop.Post(evacuationsRead{n.Evacuations}) })
+		w.store.WatchOperators(ctx, operatorsPause, func(n routing.News) { w.loop.Post(evacuationsRead{n.Evacuations}) })
 	}()
 }
