--- a/jobs/coordinator/calls.go
+++ b/jobs/coordinator/calls.go
@@ -91,7 +91,7 @@
 		c.toCore(now, cl)
 		return
 	}
-	if cl.conn != nil || c.core.Ending(cl.id) {
+	if cl.conn != nil || c.core.HasOutstandingRuns(cl.id) {
 		c.refuseCopy(cl, "ended_here")
 		return
 	}
--- a/jobs/coordinator/group.go
+++ b/jobs/coordinator/group.go
@@ -91,7 +91,7 @@
 // mayLeave lets all partitions go when nothing waits for the store, or the time
 // for that is over.
 func (c *Coordinator) mayLeave(now time.Time) bool {
-	if !c.core.Idle() && now.Sub(c.drainedAt) < c.cfg.Ownership.Flush.D() {
+	if !c.core.AllStored() && now.Sub(c.drainedAt) < c.cfg.Ownership.Flush.D() {
 		return false
 	}
 	c.leaving = true
--- a/jobs/coordinator/links.go
+++ b/jobs/coordinator/links.go
@@ -135,7 +135,7 @@
 	case *wire.QueueCounts:
 		c.announcementHeard(now, copies.Peer{Address: e.address, Process: e.conn.Peer().Incarnation}, m)
 	case *wire.CrashNews:
-		c.core.HearCrashes(now, m)
+		c.core.RecordCrashes(now, m)
 	case *wire.HandOver:
 		c.joinSoon()
 	}
--- a/jobs/coordinator/members.go
+++ b/jobs/coordinator/members.go
@@ -107,7 +107,7 @@
 	workers := c.knownWorkers(now)
 	wanted := c.wantedWorkers(now, workers)
 	chosen := subset.Choose(c.cfg.Subset.Core(), c.peers.Advertised(), c.liveCoordinators(now), workers, wanted)
-	asking := c.core.Asking()
+	asking := c.core.AwaitingReports()
 	for _, w := range workers {
 		preferred, isChosen := chosen[w.Address]
 		c.core.Prefer(w.Address, preference(preferred, isChosen))
@@ -141,7 +141,7 @@
 // chooseAgain returns whether the workers are to be chosen again: now and then, and as
 // soon as tasks begin to fit at none of them.
 func (c *Coordinator) chooseAgain(now time.Time) bool {
-	return now.Sub(c.chosenAt) >= chooseEvery || c.core.Short(c.chosenAt)
+	return now.Sub(c.chosenAt) >= chooseEvery || c.core.ShortageSince(c.chosenAt)
 }
 
 func preference(preferred, chosen bool) scheduler.Preference {
--- a/jobs/promises/coordinator_test.go
+++ b/jobs/promises/coordinator_test.go
@@ -432,6 +432,6 @@
 			continue
 		}
 		life := o.life
-		n.w.after(time.Millisecond, func() { o.post(life, func() { o.core.HearCrashes(o.now(), m) }) })
+		n.w.after(time.Millisecond, func() { o.post(life, func() { o.core.RecordCrashes(o.now(), m) }) })
 	}
 }
--- a/jobs/promises/peers_test.go
+++ b/jobs/promises/peers_test.go
@@ -234,7 +234,7 @@
 	if n.peers == nil || n.core.HasBestEffort(c.id) {
 		return true
 	}
-	if c.passedOn || n.core.Ending(c.id) {
+	if c.passedOn || n.core.HasOutstandingRuns(c.id) {
 		n.refuseCopy(c, "ended here")
 		return false
 	}
--- a/jobs/scheduler/admission.go
+++ b/jobs/scheduler/admission.go
@@ -15,7 +15,7 @@
 //	forecast.go   what stands before a job, here and at other coordinators, and its wait
 //	admission.go  who is let in, and who gives way
 //	giveup.go     who is refused later, when room has shrunk or time has passed
-//	returns.go    when who was refused is told to come back
+//	retryafter.go when who was refused is told to come back
 //	placement.go  which worker a task goes to
 //
 // docs/design/0013 has the reasons.
--- a/jobs/scheduler/asks.go
+++ b/jobs/scheduler/asks.go
@@ -91,7 +91,7 @@
 }
 
 // fresh returns whether the worker has told of what is free just now.
-func (w *worker) fresh(now time.Time) bool { return now.Sub(w.heardAt) < believed }
+func (w *worker) fresh(now time.Time) bool { return now.Sub(w.statusAt) < believed }
 
 // askForRoom asks workers for room for what dispatch has left of a service's tasks, and
 // takes back what was asked for once nothing is left.
--- a/jobs/scheduler/besteffort.go
+++ b/jobs/scheduler/besteffort.go
@@ -26,7 +26,7 @@
 		return
 	}
 	j := c.newJob(s, now)
-	if c.recallCrashes(now, j) {
+	if c.restoreCrashes(now, j) {
 		c.note(Note{What: Decision(jobPrefix + durable.Failed.String()), Job: s.ID, Reason: reasonCrashes})
 		c.reply(Reply{Call: call, ID: s.ID, State: durable.Failed})
 		return
@@ -95,7 +95,7 @@
 			out = append(out, id)
 		}
 	}
-	for id, e := range c.endings {
+	for id, e := range c.outstanding {
 		if c.bestEffort[id] == nil && now.Sub(e.sent) >= age {
 			out = append(out, id)
 		}
--- a/jobs/scheduler/candidates.go
+++ b/jobs/scheduler/candidates.go
@@ -44,7 +44,7 @@
 
 // takesTasks returns whether the worker can be reached and takes tasks.
 func (c *Core) takesTasks(now time.Time, w *worker) bool {
-	return w.up && w.status.Ready && now.Sub(w.heardAt) <= c.cfg.Suspect
+	return w.up && w.status.Ready && now.Sub(w.statusAt) <= c.cfg.Suspect
 }
 
 // free returns what is free at the worker: what it said last, less what was
--- a/jobs/scheduler/crashes.go
+++ b/jobs/scheduler/crashes.go
@@ -62,7 +62,7 @@
 	givenUp = t.crashes.tooMany(alone)
 	if t.job.sub.BestEffort {
 		crash := wire.TaskCrash{Task: t.id, Instance: e.Instance, Begun: e.Begun, GivenUp: givenUp}
-		c.tellCrash(now, crash)
+		c.reportCrash(now, crash)
 	}
 	if givenUp {
 		c.finish(now, t.job, durable.Failed, reasonCrashes)
--- a/jobs/scheduler/crashmemory.go
+++ b/jobs/scheduler/crashhistory.go
@@ -46,8 +46,8 @@
 	m.at = now
 }
 
-// tellCrash notes a crash under a best-effort job here and at the other coordinators.
-func (c *Core) tellCrash(now time.Time, crash wire.TaskCrash) {
+// reportCrash notes a crash under a best-effort job here and at the other coordinators.
+func (c *Core) reportCrash(now time.Time, crash wire.TaskCrash) {
 	c.rememberCrash(now, crash)
 	c.effects.Crashes = append(c.effects.Crashes, crash)
 }
@@ -58,20 +58,20 @@
 	how := wire.End(e.How)
 	silent := how == wire.EndLapsed && e.Instance != ""
 	if e.Ref.BestEffort() && (how == wire.EndCrashed || silent) {
-		c.tellCrash(now, wire.TaskCrash{Task: e.Ref.Task, Instance: e.Instance, Begun: e.Begun, Suspected: silent})
+		c.reportCrash(now, wire.TaskCrash{Task: e.Ref.Task, Instance: e.Instance, Begun: e.Begun, Suspected: silent})
 	}
 }
 
-// HearCrashes takes what another coordinator tells of crashes under best-effort jobs.
-func (c *Core) HearCrashes(now time.Time, m *wire.CrashNews) {
+// RecordCrashes takes what another coordinator tells of crashes under best-effort jobs.
+func (c *Core) RecordCrashes(now time.Time, m *wire.CrashNews) {
 	for _, crash := range m.Crashes {
 		c.rememberCrash(now, crash)
 	}
 }
 
-// recallCrashes gives the tasks of a best-effort job that was here or elsewhere before their
+// restoreCrashes gives the tasks of a best-effort job that was here or elsewhere before their
 // crashes. It returns whether the job was given up for them, or is now.
-func (c *Core) recallCrashes(now time.Time, j *job) (givenUp bool) {
+func (c *Core) restoreCrashes(now time.Time, j *job) (givenUp bool) {
 	m := c.crashed[j.id]
 	if m == nil {
 		return false
--- a/jobs/scheduler/demand.go
+++ b/jobs/scheduler/demand.go
@@ -35,8 +35,8 @@
 	d.peak = max(d.peak, d.inUse)
 }
 
-// short notes that a task fits at no worker now.
-func (d *demand) short(now time.Time) {
+// recordShortage notes that a task fits at no worker now.
+func (d *demand) recordShortage(now time.Time) {
 	if now.Sub(d.shortAt) >= demandSpan {
 		d.began = now
 	}
@@ -75,8 +75,8 @@
 	return int((asked + capacity - 1) / capacity), false
 }
 
-// Short returns whether tasks have begun to fit at no worker since then.
-func (c *Core) Short(since time.Time) bool {
+// ShortageSince returns whether tasks have begun to fit at no worker since then.
+func (c *Core) ShortageSince(since time.Time) bool {
 	for _, d := range c.demands {
 		if d.began.After(since) {
 			return true
--- a/jobs/scheduler/demand_test.go
+++ b/jobs/scheduler/demand_test.go
@@ -48,7 +48,7 @@
 	It("are all as soon as a task fits nowhere, and until none has for long", func() {
 		f, _ := busy()
 		before := f.now
-		Expect(f.core.Short(before)).To(BeFalse())
+		Expect(f.core.ShortageSince(before)).To(BeFalse())
 		f.now = f.now.Add(time.Millisecond)
 		big := bestEffort(1)
 		big.ID = "00000000000000aa"
@@ -56,13 +56,13 @@
 		f.core.Prefer("w1", scheduler.Preferred)
 		f.core.Submit(f.now, 2, big, 0)
 		f.core.Take(f.now)
-		Expect(f.core.Short(before)).To(BeTrue())
+		Expect(f.core.ShortageSince(before)).To(BeTrue())
 		_, all := f.core.WorkersWanted(f.now, "s")
 		Expect(all).To(BeTrue())
 		began := f.now
 		f.now = f.now.Add(time.Millisecond)
 		f.core.Take(f.now)
-		Expect(f.core.Short(began)).To(BeFalse(), "it is the same shortage")
+		Expect(f.core.ShortageSince(began)).To(BeFalse(), "it is the same shortage")
 		f.now = f.now.Add(11 * time.Second)
 		Expect(wanted(f)).To(Equal(3))
 	})
--- a/jobs/scheduler/dispatch.go
+++ b/jobs/scheduler/dispatch.go
@@ -26,7 +26,7 @@
 		q.moveOverdue(now)
 		r := c.newRound(now, service)
 		if !c.dispatchHeap(now, &q.onTime, r, orders) || !c.dispatchHeap(now, &q.overdue, r, orders) {
-			c.demandOf(service).short(now)
+			c.demandOf(service).recordShortage(now)
 		}
 	}
 	for _, w := range ordered.KeysFunc(orders, byName) {
@@ -108,7 +108,7 @@
 		BestEffort: t.job.sub.BestEffort,
 		Spec:       t.job.sub.Spec,
 		Need:       t.step.Need,
-		Checkpoint: t.check,
+		Checkpoint: t.checkpoint,
 		EstimateMS: int64(f.estimateAt(w)),
 		LimitMS:    c.limitOf(f, cand).Milliseconds(),
 		Crashes:    uint32(len(t.crashes)),
--- a/jobs/scheduler/forecast.go
+++ b/jobs/scheduler/forecast.go
@@ -25,7 +25,7 @@
 		s.cores += c.coresOf(w)
 		if c.tellsWaiting(now, w) {
 			s.fresh++
-			s.age = max(s.age, now.Sub(w.heardAt))
+			s.age = max(s.age, now.Sub(w.statusAt))
 		}
 	}
 	if n := len(c.eligible); n > maxCandidates {
@@ -52,7 +52,7 @@
 
 // tellsWaiting returns whether it is known of late what waits at the worker for others.
 func (c *Core) tellsWaiting(now time.Time, w *worker) bool {
-	return c.cfg.Load.AdmitByAll && c.cfg.Load.AskForRoom && now.Sub(w.heardAt) <= staleAfter*c.cfg.Heartbeat
+	return c.cfg.Load.AdmitByAll && c.cfg.Load.AskForRoom && now.Sub(w.statusAt) <= staleAfter*c.cfg.Heartbeat
 }
 
 // room returns how many of the tasks could begin at once, of which each takes need, with
@@ -91,7 +91,7 @@
 func (w *worker) waitsBefore(k int, turn time.Time) float64 {
 	span := &w.status.Waiting[k]
 	work := float64(span.Work) * float64(time.Millisecond)
-	first := w.heardAt.Add(time.Duration(span.FirstMS) * time.Millisecond)
+	first := w.statusAt.Add(time.Duration(span.FirstMS) * time.Millisecond)
 	length := time.Duration(span.LastMS-span.FirstMS) * time.Millisecond
 	since := turn.Sub(first)
 	switch {
--- a/jobs/scheduler/giveup.go
+++ b/jobs/scheduler/giveup.go
@@ -26,7 +26,7 @@
 // startWithin returns how long a job may wait to begin: while its answer is still
 // of use, and the caller has time to try again.
 func startWithin(j *job, now time.Time, budget time.Duration) time.Duration {
-	useful := j.uselessAt.Sub(now) - j.longest
+	useful := j.uselessAt.Sub(now) - j.criticalPath
 	if budget > 0 {
 		useful = min(useful, time.Duration(giveUpShare*float64(budget)))
 	}
@@ -90,7 +90,7 @@
 // tooLateAt returns whether a job that begins now will be late. While workers take
 // tasks there are others that can still be in time, and they get the room. While none does, a
 // late answer is the best that there is.
-func (j *job) tooLateAt(now time.Time) bool { return now.After(j.due.Add(-j.longest)) }
+func (j *job) tooLateAt(now time.Time) bool { return now.After(j.due.Add(-j.criticalPath)) }
 
 // judgement is when the queue of a service was last judged anew, and by what cores.
 type judgement struct {
--- a/jobs/scheduler/job.go
+++ b/jobs/scheduler/job.go
@@ -22,21 +22,21 @@
 	left     int   // tasks that are not done
 	stepLeft []int // the same, by step
 
-	received  time.Time
-	sent      time.Time     // the earliest that its first call may have been sent
-	longest   time.Duration // the longest chain of work
-	due       time.Time     // its objective: an answer later than this is late
-	uselessAt time.Time     // after which an answer is worth nothing
-	abandonAt time.Time     // the same, if the work was much underestimated
-	startBy   time.Time     // a best-effort job that has not begun by then is refused
-	final     time.Time     // when it became final
-
-	calls     []Call    // wait for the submission; of a best-effort job, for its end
-	cancels   []Call    // wait for the cancel
-	watchers  []watcher // wait a little for the end
-	acks      []ack     // ends that may be acknowledged with the next progress
-	dirty     bool      // progress is to be written
-	unsettled bool      // workers are still to say whether they run tasks of it
+	received     time.Time
+	sent         time.Time     // the earliest that its first call may have been sent
+	criticalPath time.Duration // the longest chain of work
+	due          time.Time     // its objective: an answer later than this is late
+	uselessAt    time.Time     // after which an answer is worth nothing
+	abandonAt    time.Time     // the same, if the work was much underestimated
+	startBy      time.Time     // a best-effort job that has not begun by then is refused
+	final        time.Time     // when it became final
+
+	calls       []Call    // wait for the submission; of a best-effort job, for its end
+	cancels     []Call    // wait for the cancel
+	watchers    []watcher // wait a little for the end
+	acks        []ack     // ends that may be acknowledged with the next progress
+	dirty       bool      // progress is to be written
+	reconciling bool      // workers are still to say whether they run tasks of it
 }
 
 // ack is an end that a worker is told to forget.
@@ -80,7 +80,7 @@
 	for _, d := range chains {
 		longest = max(longest, d)
 	}
-	j.longest = longest
+	j.criticalPath = longest
 	objective := time.Duration(j.sub.Queue.Stretch*float64(longest)) + time.Duration(j.sub.Queue.TargetMS)*time.Millisecond
 	j.due = now.Add(objective)
 	j.uselessAt = now.Add(uselessX * objective)
@@ -174,8 +174,8 @@
 	j.stepLeft[t.id.Step]--
 }
 
-// open returns whether all that the step depends on is done.
-func (j *job) open(step *durable.Step) bool {
+// dependenciesDone returns whether all that the step depends on is done.
+func (j *job) dependenciesDone(step *durable.Step) bool {
 	for _, d := range step.DependsOn {
 		if j.stepLeft[d] > 0 {
 			return false
--- a/jobs/scheduler/ending.go
+++ b/jobs/scheduler/outstanding.go
@@ -24,30 +24,30 @@
 		}
 	}
 	if len(e.runs) > 0 {
-		c.endings[j.id] = e
+		c.outstanding[j.id] = e
 	}
 }
 
 // runOver notes the end of a run of a job that is over.
 func (c *Core) runOver(ref wire.RunRef) {
-	e := c.endings[ref.Task.Job]
+	e := c.outstanding[ref.Task.Job]
 	if e == nil {
 		return
 	}
 	delete(e.runs, ref)
 	if len(e.runs) == 0 {
-		delete(c.endings, ref.Task.Job)
+		delete(c.outstanding, ref.Task.Job)
 	}
 }
 
 // forgetEndings drops the jobs whose runs are dead for certain.
 func (c *Core) forgetEndings(now time.Time) {
-	for _, id := range ordered.Keys(c.endings) {
-		if !now.Before(c.endings[id].until) {
-			delete(c.endings, id)
+	for _, id := range ordered.Keys(c.outstanding) {
+		if !now.Before(c.outstanding[id].until) {
+			delete(c.outstanding, id)
 		}
 	}
 }
 
-// Ending returns whether the best-effort job is over here while its runs may not be.
-func (c *Core) Ending(id durable.JobID) bool { return c.endings[id] != nil }
+// HasOutstandingRuns returns whether the best-effort job is over here while its runs may not be.
+func (c *Core) HasOutstandingRuns(id durable.JobID) bool { return c.outstanding[id] != nil }
--- a/jobs/scheduler/ending_test.go
+++ b/jobs/scheduler/outstanding_test.go
@@ -19,14 +19,14 @@
 			Expect(ordered).To(HaveLen(1))
 			f.core.Abandon(f.now, 1, s.ID)
 			Expect(f.core.HasBestEffort(s.ID)).To(BeFalse())
-			Expect(f.core.Ending(s.ID)).To(BeTrue())
+			Expect(f.core.HasOutstandingRuns(s.ID)).To(BeTrue())
 			Expect(f.core.BestEffortOlderThan(f.now, 0)).To(Equal([]durable.JobID{s.ID}))
 			if told {
 				f.end(ordered[0], wire.EndStopped)
 			} else {
 				f.pass(f.cfg.Core("dc").BestEffortWriteOff)
 			}
-			Expect(f.core.Ending(s.ID)).To(BeFalse())
+			Expect(f.core.HasOutstandingRuns(s.ID)).To(BeFalse())
 			Expect(f.core.BestEffortOlderThan(f.now, 0)).To(BeEmpty())
 		}
 	})
--- a/jobs/scheduler/partition.go
+++ b/jobs/scheduler/partition.go
@@ -81,7 +81,7 @@
 	}
 	j := c.newJob(s.Submission, now)
 	j.accepted = true
-	j.unsettled = true
+	j.reconciling = true
 	j.restore(s.Progress)
 	p.jobs[id] = j
 	c.active++
@@ -175,8 +175,8 @@
 // known.
 func (c *Core) settle(now time.Time, p *partition) {
 	for _, j := range ordered.Values(p.jobs) {
-		if j.unsettled {
-			j.unsettled = false
+		if j.reconciling {
+			j.reconciling = false
 			c.readyTasks(now, j)
 		}
 	}
--- a/jobs/scheduler/ready.go
+++ b/jobs/scheduler/ready.go
@@ -83,12 +83,12 @@
 
 // readyTasks lets the tasks of a job wait for a worker whose earlier steps are done.
 func (c *Core) readyTasks(now time.Time, j *job) {
-	if !j.accepted || j.unsettled || j.state.Final() {
+	if !j.accepted || j.reconciling || j.state.Final() {
 		return
 	}
 	for i := range j.tasks {
 		t := &j.tasks[i]
-		if t.state == taskBlocked && j.open(t.step) {
+		if t.state == taskBlocked && j.dependenciesDone(t.step) {
 			t.state = taskReady
 			c.enqueue(now, t)
 		}
@@ -100,7 +100,7 @@
 	if t.job.state.Final() || t.position >= 0 {
 		return
 	}
-	if t.job.unsettled {
+	if t.job.reconciling {
 		t.state = taskBlocked
 		return
 	}
--- a/jobs/scheduler/reports.go
+++ b/jobs/scheduler/reports.go
@@ -6,9 +6,9 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// Asking returns whether workers are still to tell what they have of a
+// AwaitingReports returns whether workers are still to tell what they have of a
 // partition.
-func (c *Core) Asking() bool {
+func (c *Core) AwaitingReports() bool {
 	for _, p := range c.partitions {
 		if len(p.asked) > 0 {
 			return true
@@ -156,7 +156,7 @@
 
 // writeOff frees the tasks of a worker whose leases are over.
 func (c *Core) writeOff(now time.Time, w *worker) {
-	silent := now.Sub(w.beatAt)
+	silent := now.Sub(w.heartbeatAt)
 	for _, t := range w.tasks() {
 		after := c.cfg.WriteOff
 		if t.job.sub.BestEffort {
--- a/jobs/scheduler/retries.go
+++ b/jobs/scheduler/retries.go
@@ -12,10 +12,10 @@
 // or the job has failed.
 func (c *Core) apply(now time.Time, w *worker, t *task, e *wire.RunEnd) {
 	how := wire.End(e.How)
-	t.cameBack = how == wire.EndNotRun
+	t.handedBack = how == wire.EndNotRun
 	c.noteEnd(w, t, e, how)
 	if e.Checkpoint != "" {
-		t.check = e.Checkpoint
+		t.checkpoint = e.Checkpoint
 	}
 	switch how {
 	case wire.EndDone:
--- a/jobs/scheduler/scheduler.go
+++ b/jobs/scheduler/scheduler.go
@@ -53,14 +53,14 @@
 	random *rand.Rand
 
 	// Jobs.
-	partitions map[uint32]*partition
-	bestEffort map[durable.JobID]*job // jobs that are not kept
-	crashed    map[durable.JobID]*crashMemory
-	active     int                       // jobs that are not final
-	callers    map[Call]waitingCall      // who wait for the store
-	endings    map[durable.JobID]*ending // best-effort jobs that are over, and their runs may not be
-	watched    map[*job]struct{}         // jobs whose end is waited for by callers
-	questions  []question                // about jobs that are not here
+	partitions  map[uint32]*partition
+	bestEffort  map[durable.JobID]*job // jobs that are not kept
+	crashed     map[durable.JobID]*crashMemory
+	active      int                       // jobs that are not final
+	callers     map[Call]waitingCall      // who wait for the store
+	outstanding map[durable.JobID]*ending // best-effort jobs that are over, and their runs may not be
+	watched     map[*job]struct{}         // jobs whose end is waited for by callers
+	questions   []question                // about jobs that are not here
 	// confirmedAt is when the newest join was sent that the store has answered.
 	confirmedAt time.Time
 	ready       map[string]*readyQueue // tasks that want a worker, by service
@@ -97,7 +97,7 @@
 		bestEffort:  make(map[durable.JobID]*job),
 		crashed:     make(map[durable.JobID]*crashMemory),
 		suspended:   make(map[*task]struct{}),
-		endings:     make(map[durable.JobID]*ending),
+		outstanding: make(map[durable.JobID]*ending),
 		workers:     make(map[string]*worker),
 		ready:       make(map[string]*readyQueue),
 		callers:     make(map[Call]waitingCall),
@@ -155,8 +155,8 @@
 	return out
 }
 
-// Idle returns whether nothing waits for the store.
-func (c *Core) Idle() bool {
+// AllStored returns whether nothing waits for the store.
+func (c *Core) AllStored() bool {
 	for _, p := range c.partitions {
 		if p.inflight != nil || len(p.submitted) > 0 || len(p.changed) > 0 {
 			return false
--- a/jobs/scheduler/silences.go
+++ b/jobs/scheduler/silences.go
@@ -43,7 +43,7 @@
 	}
 	t.fellSilent(now, e.Instance)
 	if t.job.sub.BestEffort {
-		c.tellCrash(now, wire.TaskCrash{Task: t.id, Instance: e.Instance, Suspected: true})
+		c.reportCrash(now, wire.TaskCrash{Task: t.id, Instance: e.Instance, Suspected: true})
 	}
 }
 
--- a/jobs/scheduler/workers.go
+++ b/jobs/scheduler/workers.go
@@ -11,24 +11,24 @@
 
 // worker is a worker as this coordinator knows it.
 type worker struct {
-	name       string // its address
-	dataCentre string
-	up         bool // connected
-	preference Preference
-	status     wire.WorkerStatus
-	identity   wire.BackendIdentity
-	heardAt    time.Time // when the newest status came
-	upAt       time.Time // when the connection was made
-	beatAt     time.Time // when the newest heartbeat was sent
-	beatSeq    uint64    // of the newest heartbeat
-	confirmed  bool      // a heartbeat over this connection was wire.OwnerHeartbeat.Confirmed
-	startSeq   uint64    // of the newest StartRuns
-	assigned   map[*task]struct{}
-	queried    []queriedRun // asked about since the connection is new
-	outlier    bool         // its runs are slow or fail, by its status
-	probedAt   time.Time    // when it last got a task as an outlier
-	ask        ask
-	speed      knownSpeed // the last that was heard of a life
+	name         string // its address
+	dataCentre   string
+	up           bool // connected
+	preference   Preference
+	status       wire.WorkerStatus
+	identity     wire.BackendIdentity
+	statusAt     time.Time // when the newest status came
+	upAt         time.Time // when the connection was made
+	heartbeatAt  time.Time // when the newest heartbeat was sent
+	heartbeatSeq uint64    // of the newest heartbeat
+	confirmed    bool      // a heartbeat over this connection was wire.OwnerHeartbeat.Confirmed
+	startSeq     uint64    // of the newest StartRuns
+	assigned     map[*task]struct{}
+	queried      []queriedRun // asked about since the connection is new
+	outlier      bool         // its runs are slow or fail, by its status
+	probedAt     time.Time    // when it last got a task as an outlier
+	ask          ask
+	speed        knownSpeed // the last that was heard of a life
 	// speedIgnored has the worker taken to be as fast as any other.
 	speedIgnored bool
 }
@@ -78,9 +78,9 @@
 	c.updateEligible(w)
 	w.status = wire.WorkerStatus{}
 	w.identity = wire.BackendIdentity{}
-	w.heardAt = now
+	w.statusAt = now
 	w.upAt = now
-	w.startSeq, w.beatSeq = 0, 0
+	w.startSeq, w.heartbeatSeq = 0, 0
 	w.confirmed = false
 	w.ask = ask{}
 	for t := range w.assigned { // any order will do
@@ -114,7 +114,7 @@
 	}
 	w.status = *m
 	w.rememberSpeed()
-	w.heardAt = now
+	w.statusAt = now
 	if newLife {
 		w.ask.stands, w.ask.told = false, false
 	}
@@ -134,22 +134,22 @@
 	if !w.up || w.status.Stamp == 0 {
 		return
 	}
-	w.beatSeq++
-	w.beatAt = now
+	w.heartbeatSeq++
+	w.heartbeatAt = now
 	w.confirmed = w.confirmed || !c.confirmedAt.Before(w.upAt)
-	c.send(w.name, &wire.OwnerHeartbeat{Seq: w.beatSeq, Echo: w.status.Stamp, Partitions: c.Partitions(), Confirmed: w.confirmed, Evacuations: c.evacuationsMessage(now)})
+	c.send(w.name, &wire.OwnerHeartbeat{Seq: w.heartbeatSeq, Echo: w.status.Stamp, Partitions: c.Partitions(), Confirmed: w.confirmed, Evacuations: c.evacuationsMessage(now)})
 }
 
 // tickWorkers sends heartbeats, gives up silent connections, and writes off what
 // workers had that cannot be reached.
 func (c *Core) tickWorkers(now time.Time) {
 	for _, w := range c.order {
-		if w.up && now.Sub(w.heardAt) > c.cfg.Suspect {
-			c.note(Note{What: WorkerSilent, Worker: w.name, Measure: SilentMS, Value: now.Sub(w.heardAt).Milliseconds()})
+		if w.up && now.Sub(w.statusAt) > c.cfg.Suspect {
+			c.note(Note{What: WorkerSilent, Worker: w.name, Measure: SilentMS, Value: now.Sub(w.statusAt).Milliseconds()})
 			c.effects.Reconnect = append(c.effects.Reconnect, w.name)
 			c.WorkerDown(now, w.name)
 		}
-		if w.up && now.Sub(w.beatAt) >= c.cfg.Heartbeat {
+		if w.up && now.Sub(w.heartbeatAt) >= c.cfg.Heartbeat {
 			c.heartbeat(now, w)
 		}
 		if !w.up && len(w.assigned) > 0 {
