--- a/jobs/coordinator/announce.go
+++ b/jobs/coordinator/announce.go
@@ -107,7 +107,7 @@
 func (c *Coordinator) giveUpUntold(now time.Time) {
 	old := c.core.BestEffortOlderThan(now, c.copies.Settings().TooLate())
 	for _, id := range copies.Late(old, c.announced.BestEffort) {
-		c.core.GiveUpUntold(now, id)
+		c.core.GiveUpUnannounced(now, id)
 	}
 }
 
--- a/jobs/coordinator/calls.go
+++ b/jobs/coordinator/calls.go
@@ -162,7 +162,7 @@
 // that is old enough.
 func (c *Coordinator) noteSent(now time.Time, cl *call) {
 	sent := c.lateness.Earliest(now, cl.since)
-	c.core.SentBefore(cl.id, sent)
+	c.core.SetEarliestSent(cl.id, sent)
 	if now.Sub(sent) >= c.copies.Settings().TellAfter() {
 		c.announcedAt = time.Time{}
 	}
--- a/jobs/coordinator/members.go
+++ b/jobs/coordinator/members.go
@@ -110,7 +110,7 @@
 	asking := c.core.Asking()
 	for _, w := range workers {
 		preferred, isChosen := chosen[w.Address]
-		c.core.Prefer(w.Address, preference(preferred, isChosen))
+		c.core.SetPreference(w.Address, preference(preferred, isChosen))
 		l := c.links[w.Address]
 		if l == nil && (asking || isChosen) {
 			c.connect(now, w.Address, wire.RoleWorker)
@@ -151,7 +151,7 @@
 	case preferred:
 		return scheduler.Preferred
 	}
-	return scheduler.Shared
+	return scheduler.Neutral
 }
 
 // disconnect gives up a connection to a worker.
--- a/jobs/promises/peers_test.go
+++ b/jobs/promises/peers_test.go
@@ -215,7 +215,7 @@
 	old := p.n.core.BestEffortOlderThan(now, p.copies.Settings().TooLate())
 	for _, id := range copies.Late(old, p.announced) {
 		p.n.w.counts["jobs given up untold"]++
-		p.n.core.GiveUpUntold(now, id)
+		p.n.core.GiveUpUnannounced(now, id)
 	}
 }
 
@@ -293,7 +293,7 @@
 		sent = c.since
 	}
 	sent = n.peers.lateness.Earliest(now, sent)
-	n.core.SentBefore(c.id, sent)
+	n.core.SetEarliestSent(c.id, sent)
 	if now.Sub(sent) >= n.peers.copies.Settings().TellAfter() {
 		n.peers.announcedAt = time.Time{}
 	}
--- a/jobs/promises/random_test.go
+++ b/jobs/promises/random_test.go
@@ -329,7 +329,7 @@
 		if i == left {
 			p = scheduler.Preferred
 		}
-		n.core.Prefer(worker.name, p)
+		n.core.SetPreference(worker.name, p)
 	}
 }
 
--- a/jobs/scheduler/besteffort.go
+++ b/jobs/scheduler/besteffort.go
@@ -60,17 +60,17 @@
 	}
 }
 
-// SentBefore tells the core that the call which brought a best-effort job may have been sent
+// SetEarliestSent tells the core that the call which brought a best-effort job may have been sent
 // as early as then.
-func (c *Core) SentBefore(id durable.JobID, earliest time.Time) {
+func (c *Core) SetEarliestSent(id durable.JobID, earliest time.Time) {
 	if j := c.bestEffort[id]; j != nil && earliest.Before(j.sent) {
 		j.sent = earliest
 	}
 }
 
-// GiveUpUntold ends a best-effort job of which other coordinators were not told in time: a copy of
+// GiveUpUnannounced ends a best-effort job of which other coordinators were not told in time: a copy of
 // it may run elsewhere.
-func (c *Core) GiveUpUntold(now time.Time, id durable.JobID) {
+func (c *Core) GiveUpUnannounced(now time.Time, id durable.JobID) {
 	j := c.bestEffort[id]
 	if j == nil {
 		return
--- a/jobs/scheduler/demand_test.go
+++ b/jobs/scheduler/demand_test.go
@@ -53,7 +53,7 @@
 		big := bestEffort(1)
 		big.ID = "00000000000000aa"
 		big.Steps[0].Need.CPU = 5000
-		f.core.Prefer("w1", scheduler.Preferred)
+		f.core.SetPreference("w1", scheduler.Preferred)
 		f.core.Submit(f.now, 2, big, 0)
 		f.core.Take(f.now)
 		Expect(f.core.Short(before)).To(BeTrue())
--- a/jobs/scheduler/evacuations_test.go
+++ b/jobs/scheduler/evacuations_test.go
@@ -76,8 +76,8 @@
 	It("gets nothing from a worker that connects there later, or is preferred again", func() {
 		f.evacuate(2, "nadi")
 		f.workerIn("nadi", "w3")
-		f.core.Prefer("w2", scheduler.Excluded)
-		f.core.Prefer("w2", scheduler.Preferred)
+		f.core.SetPreference("w2", scheduler.Excluded)
+		f.core.SetPreference("w2", scheduler.Preferred)
 		f.core.Submit(f.now, 1, bestEffort(2), 0)
 		for _, run := range f.orders(f.core.Take(f.now)) {
 			Expect(run.worker).To(Equal("w1"))
--- a/jobs/scheduler/loadworker_test.go
+++ b/jobs/scheduler/loadworker_test.go
@@ -69,7 +69,7 @@
 	w.links = append(w.links, &loadLink{core: k, up: !k.down})
 	w.p.tell(k, func(now time.Time) { k.core.WorkerUp(now, w.name, w.dataCentre()) })
 	if w.number%len(w.p.cores) == k.number {
-		k.core.Prefer(w.name, scheduler.Preferred)
+		k.core.SetPreference(w.name, scheduler.Preferred)
 	}
 	w.settle([]*loadCore{k}, false)
 }
--- a/jobs/scheduler/preference.go
+++ b/jobs/scheduler/preference.go
@@ -5,14 +5,14 @@
 
 // The preferences.
 const (
-	Shared    Preference = iota // as other coordinators may: where there is more room
+	Neutral   Preference = iota // as other coordinators may: where there is more room
 	Preferred                   // first of all: others prefer other workers, so that we know best what is free there
 	Excluded                    // none; what it has goes on
 )
 
-// Prefer tells the core of its preference for a worker, which is Shared at
+// SetPreference tells the core of its preference for a worker, which is Shared at
 // first.
-func (c *Core) Prefer(name string, p Preference) {
+func (c *Core) SetPreference(name string, p Preference) {
 	w := c.workers[name]
 	if w == nil || w.preference == p {
 		return
--- a/jobs/scheduler/scheduler_test.go
+++ b/jobs/scheduler/scheduler_test.go
@@ -474,7 +474,7 @@
 		f.worker("w1")
 		first := f.running(job(tasks(2)))
 		Expect(first).To(HaveLen(2))
-		f.core.Prefer("w1", scheduler.Excluded)
+		f.core.SetPreference("w1", scheduler.Excluded)
 		f.worker("w2")
 		Expect(f.core.Busy("w1")).To(BeTrue())
 		f.end(first[0], wire.EndFailed)
@@ -492,12 +492,12 @@
 	It("is asked what it has of a partition with jobs, and not of one without", func() {
 		f := newFixture()
 		f.core.WorkerUp(f.now, "w1", "nadi")
-		f.core.Prefer("w1", scheduler.Excluded)
+		f.core.SetPreference("w1", scheduler.Excluded)
 		f.owning(nil)
 		Expect(f.core.Asking()).To(BeFalse())
 		f = newFixture()
 		f.core.WorkerUp(f.now, "w1", "nadi")
-		f.core.Prefer("w1", scheduler.Excluded)
+		f.core.SetPreference("w1", scheduler.Excluded)
 		f.owning(map[durable.JobID]*durable.Stored{id: {Submission: job(tasks(1))}})
 		Expect(f.core.Asking()).To(BeTrue())
 		f.core.Runs(f.now, "w1", &wire.PartitionRuns{Partition: f.partition(), Epoch: epoch})
@@ -754,7 +754,7 @@
 		f := newFixture()
 		f.worker("home")
 		f.worker("shared")
-		f.core.Prefer("home", scheduler.Preferred)
+		f.core.SetPreference("home", scheduler.Preferred)
 		f.status("home", 2000)
 		at := make(map[string]int)
 		for i := range 20 {
@@ -870,9 +870,9 @@
 		f.worker("sound")
 		runAt := func(home string, i int) sent {
 			for _, name := range []string{"first", "failing", "sound"} {
-				f.core.Prefer(name, scheduler.Shared)
+				f.core.SetPreference(name, scheduler.Neutral)
 			}
-			f.core.Prefer(home, scheduler.Preferred)
+			f.core.SetPreference(home, scheduler.Preferred)
 			s := bestEffort(1)
 			s.ID = durable.JobID(fmt.Sprintf("%016x", i))
 			f.core.Submit(f.now, scheduler.Call(i), s, 0)
--- a/jobs/scheduler/worth_test.go
+++ b/jobs/scheduler/worth_test.go
@@ -79,7 +79,7 @@
 func randomCandidate(r *rand.Rand) candidate {
 	w := &worker{name: []string{"w1", "w2", "w3"}[r.IntN(3)], dataCentre: []string{"nadi", "lautoka"}[r.IntN(2)]}
 	w.identity = wire.BackendIdentity{Capacity: durable.Resources{CPU: 16000}, Labels: []string{[]string{"r1", "r2"}[r.IntN(2)]}}
-	w.preference = []Preference{Shared, Preferred}[r.IntN(2)]
+	w.preference = []Preference{Neutral, Preferred}[r.IntN(2)]
 	w.status.Failing = uint32(r.IntN(3)) * 10
 	return candidate{w: w, free: durable.Resources{CPU: r.Int64N(16000)}, jitter: r.Float64() * maxJitter}
 }
