--- a/jobs/scheduler/admission.go
+++ b/jobs/scheduler/admission.go
@@ -44,7 +44,7 @@
 func (c *Core) admit(now time.Time, j *job) (f Forecast, why string) {
 	service := j.sub.Queue.Service
 	s := c.supplyOf(now, service)
-	if c.someUnreported(now) || c.serving(now) == 0 && c.Serving(now) {
+	if c.someUnreported(now) || c.workersServing(now) == 0 && c.Serving(now) {
 		return f, ""
 	}
 	if s.cores == 0 {
@@ -68,7 +68,7 @@
 
 // forecastNew returns how long a new job will wait whose first task is t.
 func (c *Core) forecastNew(now time.Time, s *supply, t *task) Forecast {
-	f := c.forecast(now, s, t, c.workBefore(t.job.sub.Queue.Service, t.turn()))
+	f := c.forecast(now, s, t, c.workBefore(t.job.sub.Queue.Service, t.virtualDeadline()))
 	f.Allowed = time.Duration(admitShare * float64(t.due.Sub(now)))
 	return f
 }
@@ -102,10 +102,10 @@
 // order in which they give way.
 func (c *Core) behind(t *task) []*job {
 	var out []*job
-	turn := t.turn()
+	turn := t.virtualDeadline()
 	for _, o := range c.readyOf(t.job.sub.Queue.Service).onTime.tasks {
 		j := o.job
-		if j.class > t.job.class && j.mayGiveWay() && o == j.firstReady() && !o.turn().After(turn) {
+		if j.class > t.job.class && j.mayGiveWay() && o == j.firstReady() && !o.virtualDeadline().After(turn) {
 			out = append(out, j)
 		}
 	}
@@ -128,9 +128,9 @@
 	return nil
 }
 
-// full returns whether no more jobs may be taken, so that their state stays
+// atJobLimit returns whether no more jobs may be taken, so that their state stays
 // within the box's memory.
-func (c *Core) full() bool { return c.active >= c.cfg.MaxJobs }
+func (c *Core) atJobLimit() bool { return c.active >= c.cfg.MaxJobs }
 
 // startupGrace is how long a connected worker may take to say what it has, and how long a
 // coordinator without workers lets its callers hope: the first status comes within a
@@ -148,8 +148,8 @@
 	return false
 }
 
-// serving returns how many workers can be reached and take tasks.
-func (c *Core) serving(now time.Time) int {
+// workersServing returns how many workers can be reached and take tasks.
+func (c *Core) workersServing(now time.Time) int {
 	n := 0
 	for _, w := range c.eligible {
 		if c.takesTasks(now, w) {
@@ -182,7 +182,7 @@
 func (c *Core) workBefore(service string, turn time.Time) float64 {
 	work := 0.0
 	for _, t := range c.readyOf(service).onTime.tasks {
-		if !t.turn().After(turn) {
+		if !t.virtualDeadline().After(turn) {
 			work += t.work()
 		}
 	}
--- a/jobs/scheduler/besteffort.go
+++ b/jobs/scheduler/besteffort.go
@@ -20,7 +20,7 @@
 		c.note(Note{What: CopyJoined, Job: s.ID, Measure: JobAgeMS, Value: j.age(now)})
 		return
 	}
-	if c.full() {
+	if c.atJobLimit() {
 		c.note(Note{What: JobRefused, Job: s.ID, Reason: reasonTooManyJobs})
 		c.refuse(now, call, s, nil)
 		return
@@ -31,13 +31,13 @@
 		c.reply(Reply{Call: call, ID: s.ID, State: durable.Failed})
 		return
 	}
-	c.offered(now, j)
+	c.noteOffered(now, j)
 	if f, why := c.admit(now, j); why != "" {
 		c.note(Note{What: JobRefused, Job: s.ID, Reason: why, Measure: WaitMS, Value: f.Wait().Milliseconds(), Limit: f.Allowed.Milliseconds(), Forecast: &f})
 		c.refuse(now, call, s, &f)
 		return
 	}
-	c.taken(now, j)
+	c.noteAdmitted(now, j)
 	j.accepted = true
 	j.startBy = now.Add(startWithin(j, now, budget))
 	j.calls = append(j.calls, call)
@@ -110,7 +110,7 @@
 // answerBestEffort tells the callers of a job's end, and forgets it.
 func (c *Core) answerBestEffort(now time.Time, j *job) {
 	if now.After(j.due) {
-		c.given(now, j)
+		c.retractAdmitted(now, j)
 	}
 	for _, call := range j.calls {
 		c.reply(Reply{Call: call, ID: j.id, State: j.state})
--- a/jobs/scheduler/calls.go
+++ b/jobs/scheduler/calls.go
@@ -100,7 +100,7 @@
 		c.submitAgain(now, call, j, s)
 		return
 	}
-	if c.full() {
+	if c.atJobLimit() {
 		c.fail(call, s.ID, failure.Overloaded)
 		return
 	}
--- a/jobs/scheduler/asks.go
+++ b/jobs/scheduler/capacityrequests.go
@@ -18,63 +18,63 @@
 	believed    = 10 * time.Millisecond // for how long a status tells of room that is waited for: a little less than a grant stands
 )
 
-// ask is what a worker was asked for over its present connection.
-type ask struct {
-	seq     uint64              // of the newest RoomAsk
-	seen    int64               // the newest Stamp that the worker was told is handled
-	stands  bool                // it names something that waits
-	at      time.Time           // when it was sent
-	first   time.Time           // the first turn that it names
-	needs   []durable.Resources // that it names
-	before  []durable.Resources // that the ask before named: room may be on its way for them
-	told    bool                // the worker has told of room for one of those, and dispatch has not run since
-	aloneTo time.Time           // the worker is not asked before
+// capacityRequest is what a worker was asked for over its present connection.
+type capacityRequest struct {
+	seq       uint64              // of the newest RoomAsk
+	seenStamp int64               // the newest Stamp that the worker was told is handled
+	active    bool                // it names something that waits
+	at        time.Time           // when it was sent
+	first     time.Time           // the first turn that it names
+	needs     []durable.Resources // that it names
+	before    []durable.Resources // that the ask before named: room may be on its way for them
+	reported  bool                // the worker has told of room for one of those, and dispatch has not run since
+	aloneTo   time.Time           // the worker is not asked before
 }
 
 // suits returns whether the room would do for what was asked for.
-func (a *ask) suits(free durable.Resources) bool {
+func (a *capacityRequest) suits(free durable.Resources) bool {
 	fits := func(need durable.Resources) bool { return need.Fits(free) }
-	return a.stands && (slices.ContainsFunc(a.needs, fits) || slices.ContainsFunc(a.before, fits))
+	return a.active && (slices.ContainsFunc(a.needs, fits) || slices.ContainsFunc(a.before, fits))
 }
 
 // isDue returns whether another ask is to be sent for what is to be asked for now.
-func (a *ask) isDue(now time.Time, waits []wait) bool {
-	if !a.stands || len(waits) == 0 {
-		return a.stands != (len(waits) > 0)
+func (a *capacityRequest) isDue(now time.Time, waits []wait) bool {
+	if !a.active || len(waits) == 0 {
+		return a.active != (len(waits) > 0)
 	}
 	age := now.Sub(a.at)
 	change := waits[0].from.Sub(a.first).Abs()
 	return age >= askAgain || age >= askPace && (change > turnChanges || len(waits) != len(a.needs))
 }
 
-// asks is what is asked for the tasks of one service.
-type asks struct {
+// capacityRequests is what is asked for the tasks of one service.
+type capacityRequests struct {
 	workers []*worker // that are asked; asks that stand are theirs, or of a connection that is lost
 	told    []*worker // with ask.told
 	at      time.Time // when they were last looked over
 }
 
-func (c *Core) asksOf(service string) *asks {
-	a := c.asks[service]
+func (c *Core) asksOf(service string) *capacityRequests {
+	a := c.requests[service]
 	if a == nil {
-		a = &asks{}
-		c.asks[service] = a
+		a = &capacityRequests{}
+		c.requests[service] = a
 	}
 	return a
 }
 
 // asking returns whether room is asked for, since tasks of the service fit nowhere.
 func (c *Core) asking(service string) bool {
-	a := c.asks[service]
+	a := c.requests[service]
 	return a != nil && len(a.workers) > 0
 }
 
-// hearRoom notes what a status says of room that was asked for.
-func (c *Core) hearRoom(w *worker) {
-	if w.ask.told || !w.ask.suits(w.free()) {
+// noteFreeCapacity notes what a status says of room that was asked for.
+func (c *Core) noteFreeCapacity(w *worker) {
+	if w.request.reported || !w.request.suits(w.free()) {
 		return
 	}
-	w.ask.told = true
+	w.request.reported = true
 	a := c.asksOf(w.identity.Service)
 	a.told = append(a.told, w)
 }
@@ -83,8 +83,8 @@
 // us or others, what was told a while ago is not believed, since it has likely gone to
 // somebody; and once we have said that a status is handled, what we left of it is not ours.
 func (w *worker) usable(now time.Time) durable.Resources {
-	waitedFor := w.ask.stands || len(w.status.Waiting) > 0
-	if waitedFor && (!w.fresh(now) || w.ask.seen == w.status.Stamp) {
+	waitedFor := w.request.active || len(w.status.Waiting) > 0
+	if waitedFor && (!w.fresh(now) || w.request.seenStamp == w.status.Stamp) {
 		return durable.Resources{}
 	}
 	return w.free()
@@ -122,12 +122,12 @@
 
 // settleTold returns the workers that told of room of which dispatch has used nothing. An
 // order says by its Seen that the rest is not wanted.
-func (c *Core) settleTold(a *asks, orders map[*worker]*wire.StartRuns) (unused []*worker) {
+func (c *Core) settleTold(a *capacityRequests, orders map[*worker]*wire.StartRuns) (unused []*worker) {
 	for _, w := range a.told {
-		if !w.ask.told {
+		if !w.request.reported {
 			continue // its connection is another since
 		}
-		w.ask.told = false
+		w.request.reported = false
 		what := RoomUsed
 		if orders[w] == nil {
 			what = RoomUnused
@@ -147,17 +147,17 @@
 	}
 	free := w.free()
 	if slices.ContainsFunc(waits, func(k wait) bool { return k.need.Fits(free) }) {
-		w.ask.aloneTo = now.Add(leaveAlone)
+		w.request.aloneTo = now.Add(leaveAlone)
 		waits = nil
 	}
 	c.sendAsk(now, w, waits)
 }
 
 // withdrawAll takes back all that stands.
-func (c *Core) withdrawAll(now time.Time, a *asks) {
+func (c *Core) withdrawAll(now time.Time, a *capacityRequests) {
 	n := 0
 	for _, w := range a.workers {
-		if w.up && w.ask.stands {
+		if w.up && w.request.active {
 			c.sendAsk(now, w, nil)
 			n++
 		}
@@ -171,10 +171,10 @@
 
 // chooseAsked settles which workers are asked: those that are already, as long as they may
 // be, then preferred ones, then others by chance.
-func (c *Core) chooseAsked(now time.Time, a *asks, service string, waits []wait) {
+func (c *Core) chooseAsked(now time.Time, a *capacityRequests, service string, waits []wait) {
 	a.workers = slices.DeleteFunc(a.workers, func(w *worker) bool {
 		may := c.mayAsk(now, w, service, waits)
-		if !may && w.up && w.ask.stands {
+		if !may && w.up && w.request.active {
 			c.sendAsk(now, w, nil)
 		}
 		return !may
@@ -189,7 +189,7 @@
 }
 
 // othersToAsk returns up to n workers that may be asked and are not.
-func (c *Core) othersToAsk(now time.Time, a *asks, service string, waits []wait, n int) []*worker {
+func (c *Core) othersToAsk(now time.Time, a *capacityRequests, service string, waits []wait, n int) []*worker {
 	var preferred, others []*worker
 	for _, w := range c.eligible {
 		switch {
@@ -207,13 +207,13 @@
 
 // mayAsk returns whether the worker takes tasks, and some of what waits may go there.
 func (c *Core) mayAsk(now time.Time, w *worker, service string, waits []wait) bool {
-	return c.isEligible(w) && c.takesTasks(now, w) && w.identity.Service == service && !now.Before(w.ask.aloneTo) &&
+	return c.isEligible(w) && c.takesTasks(now, w) && w.identity.Service == service && !now.Before(w.request.aloneTo) &&
 		!c.ejected(now, w) && slices.ContainsFunc(waits, w.mayHave)
 }
 
 // share returns what each worker is asked for. What waits is asked for at no more workers
 // than it wants: of more that get room at once, all but a few would get it for nothing.
-func (a *asks) share(waits []wait) map[*worker][]wait {
+func (a *capacityRequests) share(waits []wait) map[*worker][]wait {
 	shares := make(map[*worker][]wait, len(a.workers))
 	for _, k := range waits {
 		var may []*worker
@@ -232,10 +232,10 @@
 }
 
 // sendAsks sends what is due to the workers that are asked.
-func (c *Core) sendAsks(now time.Time, a *asks, shares map[*worker][]wait) {
+func (c *Core) sendAsks(now time.Time, a *capacityRequests, shares map[*worker][]wait) {
 	n := 0
 	for _, w := range a.workers {
-		if w.ask.isDue(now, shares[w]) {
+		if w.request.isDue(now, shares[w]) {
 			c.sendAsk(now, w, shares[w])
 			n++
 		}
@@ -247,18 +247,18 @@
 
 // sendAsk replaces what the worker was asked for.
 func (c *Core) sendAsk(now time.Time, w *worker, waits []wait) {
-	a := &w.ask
+	a := &w.request
 	a.seq++
-	a.seen = w.status.Stamp
+	a.seenStamp = w.status.Stamp
 	a.at = now
-	a.stands = len(waits) > 0
+	a.active = len(waits) > 0
 	a.needs, a.before = a.before[:0], a.needs
-	m := &wire.RoomAsk{Seq: a.seq, Seen: a.seen}
+	m := &wire.RoomAsk{Seq: a.seq, Seen: a.seenStamp}
 	for i := range waits {
 		a.needs = append(a.needs, waits[i].need)
 		m.Waits = append(m.Waits, waits[i].message(now))
 	}
-	if a.stands {
+	if a.active {
 		a.first = waits[0].from
 	}
 	c.send(w.name, m)
--- a/jobs/scheduler/dispatch.go
+++ b/jobs/scheduler/dispatch.go
@@ -33,8 +33,8 @@
 		m := orders[w]
 		w.startSeq++
 		m.Seq = w.startSeq
-		w.ask.seen = w.status.Stamp
-		m.Seen = w.ask.seen
+		w.request.seenStamp = w.status.Stamp
+		m.Seen = w.request.seenStamp
 		c.send(w.name, m)
 	}
 	if c.cfg.Load.AskForRoom {
@@ -68,7 +68,7 @@
 	}
 	passed = append(passed, held...)
 	for _, t := range passed {
-		t.queued = t.turn() // others of its job may have been ordered meanwhile
+		t.sortKey = t.virtualDeadline() // others of its job may have been ordered meanwhile
 		heap.Push(q, t)
 	}
 	return len(passed) == 0
--- a/jobs/scheduler/forecast.go
+++ b/jobs/scheduler/forecast.go
@@ -120,7 +120,7 @@
 // forecast returns how long the job will wait whose first task is t, with own work before it
 // here, in thousandths of a core times nanoseconds.
 func (c *Core) forecast(now time.Time, s *supply, t *task, own float64) Forecast {
-	turn := t.turn()
+	turn := t.virtualDeadline()
 	cores := s.cores * s.scale
 	f := Forecast{
 		Class:   t.job.class,
--- a/jobs/scheduler/giveup.go
+++ b/jobs/scheduler/giveup.go
@@ -92,8 +92,8 @@
 // late answer is the best that there is.
 func (j *job) tooLateAt(now time.Time) bool { return now.After(j.due.Add(-j.longest)) }
 
-// judgement is when the queue of a service was last judged anew, and by what cores.
-type judgement struct {
+// review is when the queue of a service was last judged anew, and by what cores.
+type review struct {
 	at    time.Time
 	cores float64 // thousandths
 }
@@ -104,20 +104,20 @@
 	judgeEvery  = 100 * time.Millisecond
 )
 
-// judgeQueues refuses the jobs that have not begun and cannot begin in time any more, by what
+// reviewQueues refuses the jobs that have not begun and cannot begin in time any more, by what
 // comes before them, though their time is not over.
-func (c *Core) judgeQueues(now time.Time) {
+func (c *Core) reviewQueues(now time.Time) {
 	if !c.cfg.Load.AdmitByAll || c.someUnreported(now) {
 		return
 	}
 	for _, service := range ordered.Keys(c.ready) {
 		cores := c.coresNow(now, service)
-		last := c.judged[service]
+		last := c.reviews[service]
 		changed := math.Abs(cores-last.cores) > judgeChange*last.cores
 		if cores == 0 || !changed && now.Sub(last.at) < judgeEvery {
 			continue
 		}
-		c.judged[service] = judgement{now, cores}
+		c.reviews[service] = review{now, cores}
 		if c.readyOf(service).onTime.Len() > 0 {
 			c.judgeQueue(now, service)
 		}
@@ -173,7 +173,7 @@
 func (c *Core) inOrder(service string) []*task {
 	tasks := slices.Clone(c.readyOf(service).onTime.tasks)
 	slices.SortFunc(tasks, func(a, b *task) int {
-		if d := a.turn().Compare(b.turn()); d != 0 {
+		if d := a.virtualDeadline().Compare(b.virtualDeadline()); d != 0 {
 			return d
 		}
 		return byTask(a, b)
@@ -183,7 +183,7 @@
 
 // refuseUnstarted refuses a job none of whose tasks has begun: it has not run.
 func (c *Core) refuseUnstarted(now time.Time, j *job, why string, f *Forecast) {
-	c.given(now, j)
+	c.retractAdmitted(now, j)
 	c.note(Note{What: JobGivenUp, Job: j.id, Reason: why, Measure: JobAgeMS, Value: j.age(now), Forecast: f})
 	for i := range j.tasks {
 		c.unqueue(&j.tasks[i])
--- a/jobs/scheduler/hold.go
+++ b/jobs/scheduler/hold.go
@@ -74,9 +74,9 @@
 
 // noteHeld says once for each task that it holds out.
 func (c *Core) noteHeld(t *task, wait, allowed float64) {
-	if t.held {
+	if t.holdNoted {
 		return
 	}
-	t.held = true
+	t.holdNoted = true
 	c.note(Note{What: TaskHeld, Task: t.id.String(), Run: t.run, Reason: t.step.Affinity, Measure: WaitMS, Value: int64(wait), Limit: int64(allowed), Frequent: true})
 }
--- a/jobs/scheduler/turn.go
+++ b/jobs/scheduler/order.go
@@ -22,11 +22,11 @@
 	return int(min(max(priority, 0), last))
 }
 
-// turn is the order of the tasks that are on time, at all coordinators and workers: what is
+// virtualDeadline is the order of the tasks that are on time, at all coordinators and workers: what is
 // left of jobs that have begun first, in the order in which they came, then by the time halfway
 // to the due time, so that tight jobs go before loose ones of the same moment. In both parts each
 // class is put off against those before it.
-func (t *task) turn() time.Time {
+func (t *task) virtualDeadline() time.Time {
 	if t.job.begun() {
 		return t.job.received.Add(t.job.delay() - begunFirst)
 	}
--- a/jobs/scheduler/placement.go
+++ b/jobs/scheduler/placement.go
@@ -22,7 +22,7 @@
 	bestWorth := 0.0
 	for i := range workers {
 		cand := &workers[i]
-		if !f.t.mayGo(cand) || c.cfg.Load.AskForRoom && f.t.cameBack && !cand.fresh {
+		if !f.t.mayGo(cand) || c.cfg.Load.AskForRoom && f.t.rejected && !cand.fresh {
 			continue
 		}
 		if worth := c.worth(f, cand); best == nil || worth > bestWorth {
--- a/jobs/scheduler/ready.go
+++ b/jobs/scheduler/ready.go
@@ -21,7 +21,7 @@
 // onTimeBefore goes by turn, and where that is the same, as for all that is left of a job that
 // has begun, puts that first after which the most work comes.
 func onTimeBefore(a, b *task) bool {
-	if d := a.queued.Compare(b.queued); d != 0 {
+	if d := a.sortKey.Compare(b.sortKey); d != 0 {
 		return d < 0
 	}
 	return a.due.Before(b.due)
@@ -39,7 +39,7 @@
 func (q *readyQueue) Len() int { return q.onTime.Len() + q.overdue.Len() }
 
 func (q *readyQueue) push(now time.Time, t *task) {
-	t.queued = t.turn()
+	t.sortKey = t.virtualDeadline()
 	t.heap = &q.onTime
 	if t.isOverdue(now) {
 		t.heap = &q.overdue
--- a/jobs/scheduler/flows.go
+++ b/jobs/scheduler/recentwork.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// flow is the work of one queue that came of late: sums that fade.
-type flow struct {
+// recentWork is the work of one queue that came of late: sums that fade.
+type recentWork struct {
 	queue   string
 	class   int
 	at      time.Time // until when it has faded
@@ -23,7 +23,7 @@
 // faded returns what is left of 1 after a while.
 func faded(d time.Duration) float64 { return math.Exp(-float64(d) / float64(flowSpan)) }
 
-func (f *flow) fade(now time.Time) {
+func (f *recentWork) fade(now time.Time) {
 	if now.Equal(f.at) {
 		return
 	}
@@ -33,7 +33,7 @@
 }
 
 // turn returns how long after a job's coming its turn is, on the average.
-func (f *flow) turn() time.Duration { return time.Duration(f.turns / max(1, f.offered)) }
+func (f *recentWork) turn() time.Duration { return time.Duration(f.turns / max(1, f.offered)) }
 
 // work returns the job's work, in thousandths of a core times nanoseconds.
 func (j *job) work() float64 {
@@ -46,14 +46,14 @@
 }
 
 // flowOf returns what came of late of the job's queue.
-func (c *Core) flowOf(now time.Time, j *job) *flow {
-	flows := c.flows[j.sub.Queue.Service]
-	at, known := slices.BinarySearchFunc(flows, j.sub.Queue.Name, func(f *flow, queue string) int {
+func (c *Core) flowOf(now time.Time, j *job) *recentWork {
+	flows := c.recent[j.sub.Queue.Service]
+	at, known := slices.BinarySearchFunc(flows, j.sub.Queue.Name, func(f *recentWork, queue string) int {
 		return cmp.Compare(f.queue, queue)
 	})
 	if !known {
-		flows = slices.Insert(flows, at, &flow{queue: j.sub.Queue.Name, at: now})
-		c.flows[j.sub.Queue.Service] = flows
+		flows = slices.Insert(flows, at, &recentWork{queue: j.sub.Queue.Name, at: now})
+		c.recent[j.sub.Queue.Service] = flows
 	}
 	f := flows[at]
 	f.class = c.cfg.Load.class(j.sub.Queue.Priority)
@@ -65,26 +65,26 @@
 const forgotten = 1000
 
 // flowsNow returns what came of late, by queue, and forgets queues to which nothing came.
-func (c *Core) flowsNow(now time.Time, service string) []*flow {
-	flows := slices.DeleteFunc(c.flows[service], func(f *flow) bool {
+func (c *Core) flowsNow(now time.Time, service string) []*recentWork {
+	flows := slices.DeleteFunc(c.recent[service], func(f *recentWork) bool {
 		f.fade(now)
 		return f.offered < forgotten
 	})
-	c.flows[service] = flows
+	c.recent[service] = flows
 	return flows
 }
 
-// offered notes that a job has come.
-func (c *Core) offered(now time.Time, j *job) {
+// noteOffered notes that a job has come.
+func (c *Core) noteOffered(now time.Time, j *job) {
 	f, work := c.flowOf(now, j), j.work()
 	f.offered += work
-	f.turns += work * float64(j.tasks[0].turn().Sub(now))
+	f.turns += work * float64(j.tasks[0].virtualDeadline().Sub(now))
 }
 
-// taken notes that a job has been let in; given that it was refused after all, or was late.
-func (c *Core) taken(now time.Time, j *job) { c.flowOf(now, j).taken += j.work() }
+// noteAdmitted notes that a job has been let in; given that it was refused after all, or was late.
+func (c *Core) noteAdmitted(now time.Time, j *job) { c.flowOf(now, j).taken += j.work() }
 
-func (c *Core) given(now time.Time, j *job) {
+func (c *Core) retractAdmitted(now time.Time, j *job) {
 	f := c.flowOf(now, j)
 	f.taken = max(0, f.taken-j.work()*faded(now.Sub(j.received)))
 }
--- a/jobs/scheduler/retries.go
+++ b/jobs/scheduler/retries.go
@@ -12,7 +12,7 @@
 // or the job has failed.
 func (c *Core) apply(now time.Time, w *worker, t *task, e *wire.RunEnd) {
 	how := wire.End(e.How)
-	t.cameBack = how == wire.EndNotRun
+	t.rejected = how == wire.EndNotRun
 	c.noteEnd(w, t, e, how)
 	if e.Checkpoint != "" {
 		t.check = e.Checkpoint
--- a/jobs/scheduler/scheduler.go
+++ b/jobs/scheduler/scheduler.go
@@ -68,12 +68,12 @@
 
 	// Workers.
 	workers  map[string]*worker
-	order    []*worker          // all that are known, by name
-	eligible []*worker          // those that new tasks may go to (updateEligible), by name
-	sharers  map[string]float64 // coordinators that share each worker of a service, with this one
-	demands  map[string]*demand // by service
-	asks     map[string]*asks   // for room, by service
-	servedAt time.Time          // when there was last a worker that took tasks
+	order    []*worker                    // all that are known, by name
+	eligible []*worker                    // those that new tasks may go to (updateEligible), by name
+	sharers  map[string]float64           // coordinators that share each worker of a service, with this one
+	demands  map[string]*demand           // by service
+	requests map[string]*capacityRequests // for room, by service
+	servedAt time.Time                    // when there was last a worker that took tasks
 
 	evacuations   routing.Evacuations  // where nothing may be started
 	evacuationsAt time.Time            // when the store last told of them; zero before it has
@@ -81,9 +81,9 @@
 	refusals      map[string]*refusals // of late, by queue
 
 	// Who is served when not all fit.
-	flows   map[string][]*flow   // what came of late to the queues of each service, by name
-	judged  map[string]judgement // of the queue of each service
-	returns [lastClass + 1]int   // calls that were told when to come back, by class
+	recent  map[string][]*recentWork // what came of late to the queues of each service, by name
+	reviews map[string]review        // of the queue of each service
+	returns [lastClass + 1]int       // calls that were told when to come back, by class
 
 	effects Effects
 }
@@ -104,11 +104,11 @@
 		watched:     make(map[*job]struct{}),
 		sharers:     make(map[string]float64),
 		demands:     make(map[string]*demand),
-		asks:        make(map[string]*asks),
+		requests:    make(map[string]*capacityRequests),
 		evacuatedAt: make(map[string]time.Time),
 		refusals:    make(map[string]*refusals),
-		flows:       make(map[string][]*flow),
-		judged:      make(map[string]judgement),
+		recent:      make(map[string][]*recentWork),
+		reviews:     make(map[string]review),
 	}
 }
 
@@ -124,7 +124,7 @@
 
 // Tick does what is due by time.
 func (c *Core) Tick(now time.Time) {
-	serving := c.serving(now) > 0
+	serving := c.workersServing(now) > 0
 	if c.servedAt.IsZero() || serving {
 		c.servedAt = now
 	}
@@ -132,7 +132,7 @@
 	c.tickPartitions(now)
 	c.tickCallers(now)
 	c.giveUpUseless(now, serving)
-	c.judgeQueues(now)
+	c.reviewQueues(now)
 	c.tickWatchers(now)
 	c.forgetCrashes(now)
 	c.forgetEndings(now)
--- a/jobs/scheduler/speed.go
+++ b/jobs/scheduler/speed.go
@@ -9,17 +9,17 @@
 // timeFactor returns how many times as long as their estimates runs usually take at the
 // worker; 1 while that is not known, or where servers are taken to be alike.
 func (w *worker) timeFactor() float64 {
-	percent := w.usualSpeed()
+	percent := w.timeFactorPercent()
 	if percent == 0 || w.speedIgnored {
 		return 1
 	}
 	return float64(percent) / 100
 }
 
-// usualSpeed returns the time factor in percent, 0 if it is not known: the worker's word, or
+// timeFactorPercent returns the time factor in percent, 0 if it is not known: the worker's word, or
 // what was last heard of the same life while a worker process that has begun anew does not
 // know it again.
-func (w *worker) usualSpeed() uint32 {
+func (w *worker) timeFactorPercent() uint32 {
 	if w.status.TimeFactor == 0 && w.speed.instance == w.identity.Instance {
 		return w.speed.factor
 	}
--- a/jobs/scheduler/task.go
+++ b/jobs/scheduler/task.go
@@ -30,15 +30,15 @@
 	failures  []uint32  // runs that failed
 	crashes   crashes   // runs that were lost with a crashed backend server
 	silences  []silence // servers that fell silent under it, and may have crashed
-	cameBack  bool      // the newest run was handed back
+	rejected  bool      // the newest run was handed back
 	straggles int       // runs that were stopped as stragglers
 	avoid     []string  // workers where a run failed or straggled
 	worker    *worker   // while assigned
 	startSeq  uint64    // of the StartRuns that carried it
 	check     string    // checkpoint to resume from
-	held      bool      // has held out for a quicker place
+	holdNoted bool      // has held out for a quicker place
 	due       time.Time // by when it has to begin for the job to be on time
-	queued    time.Time // its turn, while it is in a heap
+	sortKey   time.Time // its turn, while it is in a heap
 	heap      *taskHeap
 	position  int // in heap; -1 when it is in none
 }
--- a/jobs/scheduler/waits.go
+++ b/jobs/scheduler/waits.go
@@ -100,7 +100,7 @@
 	if t.job.begun() {
 		return t.job.received.Add(-farOff)
 	}
-	return t.turn()
+	return t.virtualDeadline()
 }
 
 // turnOverdue returns the same of an overdue one: the order is that of overdueBefore.
--- a/jobs/scheduler/workers.go
+++ b/jobs/scheduler/workers.go
@@ -27,7 +27,7 @@
 	queried    []queriedRun // asked about since the connection is new
 	outlier    bool         // its runs are slow or fail, by its status
 	probedAt   time.Time    // when it last got a task as an outlier
-	ask        ask
+	request    capacityRequest
 	speed      knownSpeed // the last that was heard of a life
 	// speedIgnored has the worker taken to be as fast as any other.
 	speedIgnored bool
@@ -82,7 +82,7 @@
 	w.upAt = now
 	w.startSeq, w.beatSeq = 0, 0
 	w.confirmed = false
-	w.ask = ask{}
+	w.request = capacityRequest{}
 	for t := range w.assigned { // any order will do
 		t.startSeq = 0 // ordered over an earlier connection
 	}
@@ -116,9 +116,9 @@
 	w.rememberSpeed()
 	w.heardAt = now
 	if newLife {
-		w.ask.stands, w.ask.told = false, false
+		w.request.active, w.request.reported = false, false
 	}
-	c.hearRoom(w)
+	c.noteFreeCapacity(w)
 	for _, number := range m.Fenced {
 		c.fenced(now, number)
 	}
