--- a/jobs/promises/peers_test.go
+++ b/jobs/promises/peers_test.go
@@ -216,7 +216,7 @@
 	old := p.n.core.BestEffortOlderThan(now, p.copies.Settings().AnnounceDeadline())
 	for _, id := range dedup.Unannounced(old, p.announced) {
 		p.n.w.counts["jobs given up untold"]++
-		p.n.core.GiveUpUntold(now, id)
+		p.n.core.GiveUpUnannounced(now, id)
 	}
 }
 
@@ -294,7 +294,7 @@
 		sent = c.since
 	}
 	sent = n.peers.lateness.EarliestSent(now, sent)
-	n.core.SentBefore(c.id, sent)
+	n.core.SetEarliestSent(c.id, sent)
 	if now.Sub(sent) >= n.peers.copies.Settings().AnnounceAfter() {
 		n.peers.announcedAt = time.Time{}
 	}
