--- a/jobs/runtable/capacity.go
+++ b/jobs/runtable/capacity.go
@@ -11,21 +11,21 @@
 // RequestCapacity handles a coordinator's list of the work that waits there for capacity.
 func (t *Table) RequestCapacity(now time.Time, conn string, m *wire.RoomAsk) {
 	if t.owners[conn] != nil {
-		t.room.Ask(now, conn, m)
+		t.room.Request(now, conn, m)
 	}
 }
 
 // shareCapacity grants free capacity to the coordinators that request it, and queues statuses
 // for them. When the last request has ended, all coordinators are sent the free capacity.
 func (t *Table) shareCapacity(now time.Time) {
-	t.room.Resize(t.identity.Capacity)
-	for _, conn := range t.room.Share(now, t.grantable(now)) {
+	t.room.SetCapacity(t.identity.Capacity)
+	for _, conn := range t.room.Allocate(now, t.grantable(now)) {
 		t.queueStatus(conn, t.owners[conn])
 	}
 	for _, e := range t.room.Events() {
 		t.noteRoomEvent(e)
 	}
-	shared := t.room.Asked()
+	shared := t.room.Sharing()
 	if t.capacityShared && !shared {
 		t.queueStatuses()
 	}
@@ -44,7 +44,7 @@
 // request capacity, only those that are granted some get one at once; the others get theirs in
 // answer to their next heartbeat.
 func (t *Table) announceFreed() {
-	if !t.room.Asked() {
+	if !t.room.Sharing() {
 		t.queueStatuses()
 		return
 	}
@@ -53,10 +53,10 @@
 
 // roomDecisions maps the events of package room to decisions.
 var roomDecisions = [...]Decision{
-	room.Granted:       GrantMade,
-	room.GrantUsed:     GrantUsed,
-	room.GrantLapsed:   GrantLapsed,
-	room.OwnerSetAside: OwnerDeprioritised,
+	room.Granted:            GrantMade,
+	room.GrantUsed:          GrantUsed,
+	room.GrantLapsed:        GrantLapsed,
+	room.OwnerDeprioritised: OwnerDeprioritised,
 }
 
 func (t *Table) noteRoomEvent(e room.Event) {
--- a/jobs/runtable/capacity_test.go
+++ b/jobs/runtable/capacity_test.go
@@ -321,7 +321,7 @@
 		Expect(v.Asks).To(ConsistOf(
 			And(HaveField("Owner", "b"), HaveField("Tasks", 1), HaveField("Need", int64(1500))),
 			And(HaveField("Owner", "c"), HaveField("Tasks", 0))))
-		Expect(v.Grants).To(ConsistOf(And(HaveField("Owner", "c"), HaveField("WasTold", true))))
+		Expect(v.Grants).To(ConsistOf(And(HaveField("Owner", "c"), HaveField("Advertised", true))))
 	})
 
 	It("logs the grants and what became of them", func() {
--- a/jobs/runtable/owners.go
+++ b/jobs/runtable/owners.go
@@ -39,7 +39,7 @@
 	for conn, o := range t.owners {
 		if o.member == current.member && o.connNumber < current.connNumber {
 			delete(t.owners, conn)
-			t.room.Gone(conn)
+			t.room.RemoveOwner(conn)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 // OwnerDown removes a lost connection. The leases of its owner stay until they expire.
 func (t *Table) OwnerDown(_ time.Time, conn string) {
 	delete(t.owners, conn)
-	t.room.Gone(conn)
+	t.room.RemoveOwner(conn)
 }
 
 // Heartbeat renews a coordinator's leases.
--- a/jobs/runtable/starts.go
+++ b/jobs/runtable/starts.go
@@ -20,13 +20,13 @@
 	o.startSeq = m.Seq
 	t.queueStatus(conn, o)
 	t.shareCapacity(now) // capacity that has just come free is not taken by whichever order arrives first
-	t.room.Ordered(now, conn, m.Seen)
+	t.room.OrderReceived(now, conn, m.Seen)
 	taken := false
 	for i := range m.Runs {
 		taken = t.takeOrder(now, conn, &m.Runs[i]) || taken
 	}
 	if taken {
-		t.room.Took(conn, t.free())
+		t.room.OrdersAccepted(conn, t.free())
 	}
 }
 
@@ -65,7 +65,7 @@
 		return "suspect_there"
 	case !order.Need.Fits(t.free()), now.Sub(t.noRoomAt) < noRoomPause:
 		return reasonBusy
-	case !order.Need.Fits(t.room.Free(conn, t.free())):
+	case !order.Need.Fits(t.room.Available(conn, t.free())):
 		return reasonGranted
 	}
 	return ""
--- a/jobs/runtable/status.go
+++ b/jobs/runtable/status.go
@@ -42,7 +42,7 @@
 		}
 		o.dirty = false
 		s := t.status(now, conn, o, slowness)
-		t.room.Told(now, conn, s.Stamp)
+		t.room.StatusSent(now, conn, s.Stamp)
 		t.send(conn, s)
 	}
 	t.dirty = t.dirty[:0]
@@ -57,8 +57,8 @@
 		HeartbeatSeq: o.heartbeatSeq,
 		StartSeq:     o.startSeq,
 		Ready:        t.canStart(),
-		Free:         t.room.Free(conn, t.free()),
-		Waiting:      t.room.Waiting(now, conn),
+		Free:         t.room.Available(conn, t.free()),
+		Waiting:      t.room.WaitingElsewhere(now, conn),
 		Fenced:       o.fenced,
 	}
 	o.fenced = nil
--- a/jobs/runtable/view.go
+++ b/jobs/runtable/view.go
@@ -21,9 +21,9 @@
 	Free       int64  `json:"free"`     // thousandths of a core; may be negative
 	Runs       int    `json:"runs"`
 	// Coordinators maps the names of connections to the coordinators' process IDs.
-	Coordinators map[string]string `json:"coordinators"`
-	Asks         []room.AskView    `json:"asks"`
-	Grants       []room.GrantView  `json:"grants"`
+	Coordinators map[string]string  `json:"coordinators"`
+	Asks         []room.RequestView `json:"asks"`
+	Grants       []room.GrantView   `json:"grants"`
 }
 
 // View returns the state of the table.
