--- a/jobs/runtable/crash.go
+++ b/jobs/runtable/crash.go
@@ -25,8 +25,8 @@
 func (t *Table) leaving() bool { return t.identity.Service != "" && !t.identity.Ready }
 
 // endCrashed ends all runs, since the process that ran them has crashed. One of them may have
-// caused the crash. The owners are therefore sent which runs had started, and which one was the
-// only run whose task had been in a crash before.
+// caused the crash. The ends therefore say which runs had started, and which one was the only
+// run whose task had been in a crash before.
 func (t *Table) endCrashed(now time.Time, reason string) {
 	suspects := t.suspects()
 	for _, ref := range t.sortedRefs() {
--- a/jobs/runtable/inherited.go
+++ b/jobs/runtable/inherited.go
@@ -18,8 +18,8 @@
 // is still in transit may reach the next incarnation if that has the same instance ID, even if
 // the order was followed by a stop, or if a duplicate of it was answered.
 func (t *Table) giveUpIncarnation(now time.Time, reason string) {
-	onItsWay := func(r *run) bool { return r.started.IsZero() || r.unanswered && !r.listed }
-	t.endIncarnationExcept(now, reason, func(r *run) bool { return onItsWay(r) && t.identity.Born != 0 })
+	inTransit := func(r *run) bool { return r.started.IsZero() || r.unanswered && !r.listed }
+	t.endIncarnationExcept(now, reason, func(r *run) bool { return inTransit(r) && t.identity.Born != 0 })
 }
 
 // endIncarnationExcept ends all runs except those that the next incarnation may have.
--- a/jobs/runtable/lapse.go
+++ b/jobs/runtable/lapse.go
@@ -38,11 +38,11 @@
 func (t *Table) expiredLeases(now time.Time) []leaseKey {
 	var over []leaseKey
 	for key, l := range t.leases {
-		isOver := !now.Before(l.expires)
+		expired := !now.Before(l.expires)
 		switch {
-		case isOver && t.hasWorkUnder(key):
+		case expired && t.hasWorkUnder(key):
 			over = append(over, key)
-		case isOver && key.member != "" && t.owners[l.conn] == nil:
+		case expired && key.member != "" && t.owners[l.conn] == nil:
 			delete(t.leases, key)
 		default:
 			l.stoppedAt = time.Time{}
@@ -111,7 +111,7 @@
 	t.lapsing = false
 	t.note(LeaseLapsed, wire.RunRef{}, "")
 	if t.silent && t.isRefusing() {
-		t.giveUpIncarnation(now, reasonRefused) // even if it still runs, all its runs are dead
+		t.giveUpIncarnation(now, reasonRefused) // all its runs are over, even if the process is alive
 		return
 	}
 	if t.silent {
--- a/jobs/runtable/leases.go
+++ b/jobs/runtable/leases.go
@@ -57,8 +57,8 @@
 	return leaseKey{partition: ref.Task.Job.Partition(t.cfg.Partitions)}
 }
 
-// awaitClaim creates the lease of unclaimed runs, unless it exists: it gives their coordinators
-// Settings.AdoptionTimeout to ask about them.
+// awaitClaim gives the coordinators of unclaimed runs Settings.AdoptionTimeout to ask about them,
+// counted from when the first of the runs was adopted.
 func (t *Table) awaitClaim(now time.Time, key leaseKey) {
 	if !t.hasWorkUnder(key) {
 		t.leases[key] = &ownerLease{expires: now.Add(t.cfg.AdoptionTimeout), reported: true, confirmed: true}
--- a/jobs/runtable/renew.go
+++ b/jobs/runtable/renew.go
@@ -57,8 +57,8 @@
 // Settings.RenewOverdueAfter. The answer may still arrive; the next renewal does not wait for
 // news.
 func (t *Table) RenewOverdue(call RenewCall) {
-	overdue, onItsWay := t.pendingRenewals[call.Seq]
-	if !onItsWay || overdue {
+	overdue, pending := t.pendingRenewals[call.Seq]
+	if !pending || overdue {
 		return // the answer arrived at the same time
 	}
 	t.pendingRenewals[call.Seq] = true
--- a/jobs/runtable/run.go
+++ b/jobs/runtable/run.go
@@ -51,12 +51,12 @@
 	inheritedUntil time.Time // when a run in state runInherited is over for certain
 }
 
-// heldBy returns whether the run is held under the owner's lease.
+// heldBy returns whether the run is held under the lease.
 func (r *run) heldBy(key leaseKey) bool { return r.lease == key || slices.Contains(r.coOwners, key) }
 
-// addOwner adds an owner of the lease to the run. The owner before keeps it too: otherwise it
-// would not learn of the run's end. Handing the second order back instead would have the task
-// run twice.
+// addOwner adds the owner of the lease to the run's owners. The earlier ones stay, since they
+// would otherwise not be sent the run's end. If the second order were handed back instead, the
+// task would run twice.
 func (r *run) addOwner(key leaseKey) {
 	switch {
 	case r.heldBy(key):
--- a/jobs/runtable/runtable.go
+++ b/jobs/runtable/runtable.go
@@ -143,7 +143,7 @@
 	Starts []StartCall
 	Stops  []StopCall
 	Notes  []Note
-	Renew  bool       // ask for NextRenewal soon
+	Renew  bool       // call NextRenewal soon
 	Probe  *RenewCall // to be made, its answer to be passed to ProbeAnswered; nil if there is none
 }
 
--- a/jobs/runtable/silence.go
+++ b/jobs/runtable/silence.go
@@ -9,8 +9,8 @@
 // checkSilence updates whether the backend server is silent. A silent one gets no new runs, and
 // its lease is not extended, so that its runs are known to be over as soon as possible.
 func (t *Table) checkSilence(now time.Time) {
-	unheard := now.Sub(t.clockAt) > t.cfg.SilentAfter || t.isRefusing()
-	silent := t.hasIdentity && unheard && (t.synced || t.mayBeRunning())
+	unresponsive := now.Sub(t.clockAt) > t.cfg.SilentAfter || t.isRefusing()
+	silent := t.hasIdentity && unresponsive && (t.synced || t.mayBeRunning())
 	if silent == t.silent {
 		return
 	}
--- a/jobs/runtable/stops.go
+++ b/jobs/runtable/stops.go
@@ -60,14 +60,15 @@
 	}
 }
 
-// verifyByList leaves the fate of a stopped run to the first list that is requested from now on.
+// verifyByList leaves it to the first list that is requested from now on to show what became of
+// a stopped run.
 func (t *Table) verifyByList(r *run) {
 	r.state = runVerifying
 	r.verifyAfter = t.renewSeq
 	t.effects.Renew = true
 }
 
-// resolveVerified decides the fate of stopped runs. A list that was requested after the stop and
+// resolveVerified decides what became of stopped runs. A list that was requested after the stop and
 // shows neither the run nor its end proves that the run never started.
 func (t *Table) resolveVerified(now time.Time, seq uint64, running map[wire.RunRef]bool) {
 	verified := func(r *run) bool { return r.state == runVerifying && seq > r.verifyAfter }
--- a/jobs/runtable/view.go
+++ b/jobs/runtable/view.go
@@ -16,7 +16,7 @@
 	// not known.
 	TimeFactor uint32 `json:"time_factor"`
 	Slowness   uint32 `json:"slowness"` // time of the latest runs over the baseline, in percent
-	Failing    uint32 `json:"failing"`  // share of the latest runs, in percent
+	Failing    uint32 `json:"failing"`  // share of the latest runs that failed, in percent
 	Capacity   int64  `json:"capacity"` // thousandths of a core
 	Free       int64  `json:"free"`     // thousandths of a core; may be negative
 	Runs       int    `json:"runs"`
