--- a/jobs/runtable/capacity_test.go
+++ b/jobs/runtable/capacity_test.go
@@ -51,7 +51,7 @@
 
 // perform takes the Effects a millisecond later, and has the backend server accept the starts.
 func (n *sharedWorker) perform() {
-	n.pass(time.Millisecond)
+	n.advance(time.Millisecond)
 	e := n.take()
 	n.statusTo = nil
 	for _, s := range e.Sends {
@@ -68,11 +68,11 @@
 }
 
 // request has the coordinator request capacity for runs of 1,500 thousandths of a core.
-func (n *sharedWorker) request(name string, tasks uint32, turn int64) {
+func (n *sharedWorker) request(name string, tasks uint32, virtualDeadline int64) {
 	n.seq++
 	m := &wire.RoomAsk{Seq: n.seq, Seen: n.lastStatus[name].Stamp}
 	if tasks > 0 {
-		m.Waits = []wire.RoomWait{{WaitingWork: wire.WaitingWork{FirstMS: turn, LastMS: turn, Work: 90}, Need: durable.Resources{CPU: 1500}, Tasks: tasks}}
+		m.Waits = []wire.RoomWait{{WaitingWork: wire.WaitingWork{FirstMS: virtualDeadline, LastMS: virtualDeadline, Work: 90}, Need: durable.Resources{CPU: 1500}, Tasks: tasks}}
 	}
 	n.table.RequestCapacity(n.now, name, m)
 }
@@ -142,7 +142,7 @@
 		n := fullWorker()
 		n.endOldest()
 		n.perform()
-		n.pass(n.cfg.Room.Grant.D())
+		n.advance(n.cfg.Room.Grant.D())
 		n.perform()
 		Expect(n.statusTo).To(Equal([]string{"b"}))
 		n.orderRun("b")
@@ -172,7 +172,7 @@
 			n.seq++
 			n.table.RequestCapacity(n.now, "b", &wire.RoomAsk{Seq: n.seq, Waits: []wire.RoomWait{{Need: durable.Resources{CPU: 4001}, Tasks: 1}}})
 			n.renewLease(nil)
-			n.pass(10 * time.Millisecond)
+			n.advance(10 * time.Millisecond)
 			n.perform()
 		}
 		n.sendHeartbeat("c")
@@ -223,7 +223,7 @@
 
 	It("drops requests that are not repeated", func() {
 		n := fullWorker()
-		n.pass(n.cfg.Room.Ask.D())
+		n.advance(n.cfg.Room.Ask.D())
 		n.perform()
 		Expect(n.statusTo).To(Equal([]string{"a", "b", "c"}))
 	})
@@ -242,7 +242,7 @@
 				call, _ := n.table.NextRenewal(n.now)
 				n.table.RenewAnswered(n.now, call, runtable.RenewAnswer{Result: runtable.RenewConnectionRefused})
 			},
-			"silent": func(n *sharedWorker) { n.pass(n.cfg.Silence.D() + time.Millisecond) },
+			"silent": func(n *sharedWorker) { n.advance(n.cfg.Silence.D() + time.Millisecond) },
 		} {
 			n := fullWorker()
 			n.endOldest()
@@ -296,7 +296,7 @@
 		n.perform()
 		Expect(n.statusTo).NotTo(ContainElement("b"))
 		n.renewLease(nil)
-		n.pass(20 * time.Millisecond)
+		n.advance(20 * time.Millisecond)
 		n.perform()
 		Expect(n.statusTo).To(ContainElement("b"))
 	})
--- a/jobs/runtable/coowners_test.go
+++ b/jobs/runtable/coowners_test.go
@@ -53,10 +53,10 @@
 		},
 		"crashed": func(f *fixture) { f.crash() },
 		"lapsed": func(f *fixture) {
-			f.pass(f.cfg.Silence.D() + time.Millisecond)
+			f.advance(f.cfg.Silence.D() + time.Millisecond)
 			f.sendHeartbeat(owner)
 			f.sendHeartbeat(other)
-			f.pass(f.cfg.BackendLease.D())
+			f.advance(f.cfg.BackendLease.D())
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -74,9 +74,9 @@
 	for _, renewing := range []string{owner, other} {
 		RegisterTestingT(t)
 		f := orderedTwice()
-		f.passRenewing(f.cfg.BestEffortLease.D() / 2)
+		f.advanceRenewing(f.cfg.BestEffortLease.D() / 2)
 		f.sendHeartbeat(renewing)
-		f.passRenewing(f.cfg.BestEffortLease.D()/2 + time.Millisecond)
+		f.advanceRenewing(f.cfg.BestEffortLease.D()/2 + time.Millisecond)
 		Expect(f.take().Stops).To(HaveLen(1))
 	}
 }
--- a/jobs/runtable/crash_test.go
+++ b/jobs/runtable/crash_test.go
@@ -139,7 +139,7 @@
 		f.orderSuspects(1, 0)
 		f.crash()
 		f.nextIncarnation()
-		f.passRenewing(40 * time.Second)
+		f.advanceRenewing(40 * time.Second)
 		Expect(f.partitionReport("conn-2", 8)).To(BeEmpty())
 	})
 
--- a/jobs/runtable/evacuations_test.go
+++ b/jobs/runtable/evacuations_test.go
@@ -74,7 +74,7 @@
 		f := newFixture().ready()
 		f.order(7, ref(0, 1))
 		start := f.take().Starts[0]
-		f.pass(f.cfg.Silence.D() + 20*time.Millisecond)
+		f.advance(f.cfg.Silence.D() + 20*time.Millisecond)
 		f.table.StartAnswered(f.now, start, runtable.StartUnknown)
 		f.table.SetEvacuations(f.now, evacuated(3))
 		f.renewLease(nil)
@@ -84,10 +84,10 @@
 	It("reads the store itself if no coordinator has read it recently", func() {
 		f := newFixture().ready()
 		announce(f, &wire.Evacuations{Offset: 3, AgeMS: 0})
-		f.passRenewing(1900 * time.Millisecond)
+		f.advanceRenewing(1900 * time.Millisecond)
 		Expect(f.table.EvacuationsStale(f.now)).To(BeFalse())
 		announce(f, &wire.Evacuations{Offset: 3, AgeMS: 1900}) // the same version, read earlier
-		f.passRenewing(200 * time.Millisecond)
+		f.advanceRenewing(200 * time.Millisecond)
 		Expect(f.table.EvacuationsStale(f.now)).To(BeTrue())
 		announce(f, &wire.Evacuations{Offset: 3, AgeMS: 10})
 		Expect(f.table.EvacuationsStale(f.now)).To(BeFalse())
@@ -105,7 +105,7 @@
 		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
 		for range 10 {
 			f.renewLease([]runtable.ListedRun{{Ref: ref(0, 1)}})
-			f.pass(100 * time.Millisecond)
+			f.advance(100 * time.Millisecond)
 			f.heartbeatEchoing(7, f.now.Sub(time.Unix(1000, 0)).Microseconds())
 		}
 		return f
--- a/jobs/runtable/fenced_test.go
+++ b/jobs/runtable/fenced_test.go
@@ -36,7 +36,7 @@
 			f.take()
 			test.fence(f, starts[0])
 			for range 200 { // 5 s, far more than the 3 s that the users allow
-				f.pass(25 * time.Millisecond)
+				f.advance(25 * time.Millisecond)
 				if call, ok := f.table.NextRenewal(f.now); ok {
 					if call.Token == passed {
 						t.Fatal("the lease was renewed under a fenced token")
--- a/jobs/runtable/races_test.go
+++ b/jobs/runtable/races_test.go
@@ -21,11 +21,11 @@
 // after a silence, and the order that has no answer is resent.
 func sendOrderTwice(f *fixture) (first, second runtable.StartCall) {
 	f.renewLease(nil)
-	f.pass(f.cfg.Silence.D() - 10*time.Millisecond)
+	f.advance(f.cfg.Silence.D() - 10*time.Millisecond)
 	f.order(0, bestEffortRef)
 	starts := f.take().Starts
 	Expect(starts).To(HaveLen(1))
-	f.pass(20 * time.Millisecond) // silent now; the first order has 40 ms left
+	f.advance(20 * time.Millisecond) // silent now; the first order has 40 ms left
 	f.renewLease(nil)
 	again := f.take().Starts
 	Expect(again).To(HaveLen(1))
@@ -107,7 +107,7 @@
 	f := newFixture().ready()
 	f.heartbeat(7)
 	writtenOff := writeOffTime(f)
-	f.passRenewing(f.cfg.BestEffortLease.D() - 10*time.Millisecond)
+	f.advanceRenewing(f.cfg.BestEffortLease.D() - 10*time.Millisecond)
 	f.order(0, bestEffortRef)
 	call := f.take().Starts[0]
 	last, step := call.Deadline, 20*time.Millisecond
@@ -115,7 +115,7 @@
 		if renewal, ok := f.table.NextRenewal(f.now); ok {
 			f.table.RenewAnswered(f.now, renewal, runtable.RenewAnswer{Result: runtable.RenewOK, Clock: f.clock()})
 		}
-		f.pass(step)
+		f.advance(step)
 		if n%4 == 0 { // the timeout of a call and the pause after it
 			f.table.StartAnswered(f.now, call, runtable.StartUnknown)
 		}
@@ -133,12 +133,12 @@
 func TestUnwantedOrderIsNotRepeated(t *testing.T) {
 	for name, unwanted := range map[string]func(f *fixture){
 		"stopped":    func(f *fixture) { f.table.Stop(f.now, owner, &wire.StopRuns{Runs: []wire.RunRef{bestEffortRef}}) },
-		"lease over": func(f *fixture) { f.passRenewing(f.cfg.BestEffortLease.D()/2 + time.Millisecond) },
+		"lease over": func(f *fixture) { f.advanceRenewing(f.cfg.BestEffortLease.D()/2 + time.Millisecond) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			RegisterTestingT(t)
 			f := newFixture().ready()
-			f.passRenewing(f.cfg.BestEffortLease.D() / 2)
+			f.advanceRenewing(f.cfg.BestEffortLease.D() / 2)
 			f.order(0, bestEffortRef)
 			call := f.take().Starts[0]
 			unwanted(f)
@@ -171,7 +171,7 @@
 				return last
 			}
 		}
-		f.pass(20 * time.Millisecond)
+		f.advance(20 * time.Millisecond)
 	}
 	return last
 }
@@ -186,7 +186,7 @@
 	writtenOff := writeOffTime(f)
 	f.order(0, bestEffortRef)
 	f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
-	f.passRenewing(f.cfg.BestEffortLease.D() - 10*time.Millisecond)
+	f.advanceRenewing(f.cfg.BestEffortLease.D() - 10*time.Millisecond)
 	f.now = f.now.Add(600 * time.Millisecond) // the control goroutine is stalled
 	if last := lastDeadline(f, []runtable.ListedRun{{Ref: bestEffortRef}}); last > writtenOff {
 		t.Errorf("kept alive until %v after the write-off", last-writtenOff)
@@ -200,14 +200,14 @@
 	f := newFixture().ready()
 	f.order(0, bestEffortRef)
 	f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
-	f.passRenewing(f.cfg.BestEffortLease.D() - 10*time.Millisecond)
+	f.advanceRenewing(f.cfg.BestEffortLease.D() - 10*time.Millisecond)
 	f.now = f.now.Add(600 * time.Millisecond) // the control goroutine is stalled
 	bounded := f.renewLease([]runtable.ListedRun{{Ref: bestEffortRef}})
 	Expect(f.take().Stops).To(HaveLen(1))
 	f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: bestEffortRef, Valid: true, How: wire.EndStopped})
 	Expect(bounded.Deadline).To(BeNumerically("<", f.clock()+f.cfg.BackendLease.D()))
 	Expect(f.renewLease(nil).Deadline).To(Equal(f.clock() + f.cfg.BackendLease.D()))
-	f.pass(f.cfg.StopGrace.D())
+	f.advance(f.cfg.StopGrace.D())
 	_, ok := f.table.NextRenewal(f.now)
 	Expect(ok).To(BeTrue(), "nothing lapses")
 }
@@ -254,7 +254,7 @@
 	f.heartbeat(7)
 	f.table.QueryRuns(f.now, owner, &wire.RunsQuery{Runs: []wire.RunRef{bestEffortRef}})
 	Expect(f.renewLease(nil).Deadline).To(Equal(f.clock() + f.cfg.BackendLease.D()))
-	f.passRenewing(f.cfg.FirstLease.D() + f.cfg.StopGrace.D())
+	f.advanceRenewing(f.cfg.FirstLease.D() + f.cfg.StopGrace.D())
 	e := f.take()
 	Expect(e.Stops).To(BeEmpty())
 	Expect(e.Notes).NotTo(ContainElement(HaveField("What", runtable.LeaseLapsing)))
@@ -294,7 +294,7 @@
 	f.heartbeat(7)
 	f.table.Tick(f.now)
 	Expect(ends(f.take())).To(BeEmpty())
-	f.pass(f.cfg.BackendLease.D() + 100*time.Millisecond)
+	f.advance(f.cfg.BackendLease.D() + 100*time.Millisecond)
 	Expect(ends(f.take())).To(HaveLen(1))
 }
 
@@ -311,10 +311,10 @@
 	Expect(stops[0].Incarnation()).To(Equal(identity.Incarnation()))
 	Expect(stops[0].Token).To(Equal(f.renewLease(nil).Token))
 	f.table.StopAnswered(f.now, stops[0], false)
-	f.pass(100 * time.Millisecond)
+	f.advance(100 * time.Millisecond)
 	f.renewLease(listed)
 	Expect(f.take().Stops).To(HaveLen(1), "while it is listed")
-	f.pass(100 * time.Millisecond)
+	f.advance(100 * time.Millisecond)
 	f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: bestEffortRef, Valid: true, How: wire.EndStopped})
 	f.renewLease(listed) // from a delayed list
 	Expect(f.take().Stops).To(BeEmpty())
@@ -346,7 +346,7 @@
 	f := restartingFixture(1000)
 	f.order(0, bestEffortRef)
 	f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartUnknown)
-	f.passRenewing(f.cfg.StartLimit.D() + time.Millisecond)
+	f.advanceRenewing(f.cfg.StartLimit.D() + time.Millisecond)
 	Expect(f.take().Stops).To(HaveLen(1))
 	f.heartbeat(7)
 	Expect(f.refuseUntilGivenUp()).To(BeEmpty(), "the order may be on its way")
--- a/jobs/runtable/refused_test.go
+++ b/jobs/runtable/refused_test.go
@@ -26,7 +26,7 @@
 			f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewConnectionRefused})
 		}
 		f.heartbeat(7)
-		f.pass(10 * time.Millisecond)
+		f.advance(10 * time.Millisecond)
 		e := f.take()
 		reported = append(reported, ends(e)...)
 		for _, n := range e.Notes {
@@ -64,7 +64,7 @@
 			RegisterTestingT(t)
 			f := runningFixture()
 			refuse(f)
-			f.pass(300 * time.Millisecond)
+			f.advance(300 * time.Millisecond)
 			e := f.take()
 			Expect(ends(e)).To(BeEmpty())
 			f.order(0, ref(6, wire.BestEffortRun+1))
@@ -88,7 +88,7 @@
 			f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewConnectionRefused})
 		}
 		f.sendHeartbeat(owner)
-		f.pass(20 * time.Millisecond)
+		f.advance(20 * time.Millisecond)
 		reported = ends(f.take())
 	}
 	Expect(reported).To(ConsistOf(HaveField("How", uint8(wire.EndCrashed))))
--- a/jobs/runtable/restarted_test.go
+++ b/jobs/runtable/restarted_test.go
@@ -135,9 +135,9 @@
 		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
 		call, _ := f.table.NextRenewal(f.now)
 		f.table.RenewAnswered(f.now, call, runtable.RenewAnswer{Result: runtable.RenewRestarted})
-		f.pass(f.cfg.BackendLease.D())
+		f.advance(f.cfg.BackendLease.D())
 		Expect(ends(f.take())).To(BeEmpty())
-		f.pass(200 * time.Millisecond)
+		f.advance(200 * time.Millisecond)
 		Expect(ends(f.take())).To(HaveLen(1))
 	})
 
--- a/jobs/runtable/runtable_test.go
+++ b/jobs/runtable/runtable_test.go
@@ -49,7 +49,7 @@
 	return e
 }
 
-func (f *fixture) pass(d time.Duration) {
+func (f *fixture) advance(d time.Duration) {
 	f.now = f.now.Add(d)
 	f.table.Tick(f.now)
 }
@@ -75,11 +75,11 @@
 	return f
 }
 
-// passRenewing advances the time while the backend server answers renewals.
-func (f *fixture) passRenewing(d time.Duration) {
+// advanceRenewing advances the time while the backend server answers renewals.
+func (f *fixture) advanceRenewing(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.renewLease(nil)
-		f.pass(min(f.cfg.RenewWait.D(), end.Sub(f.now)))
+		f.advance(min(f.cfg.RenewWait.D(), end.Sub(f.now)))
 	}
 }
 
@@ -189,7 +189,7 @@
 		f.take()
 		f.order(7, ref(1, 1))
 		Expect(ends(f.take())[0].Reason).To(Equal("busy"))
-		f.passRenewing(20 * time.Millisecond)
+		f.advanceRenewing(20 * time.Millisecond)
 		f.order(7, ref(2, 1))
 		Expect(f.take().Starts).To(HaveLen(1))
 	})
@@ -201,13 +201,13 @@
 		for _, c := range f.take().Starts {
 			f.table.StartAnswered(f.now, c, runtable.StartAccepted)
 		}
-		f.passRenewing(200 * time.Millisecond)
+		f.advanceRenewing(200 * time.Millisecond)
 		f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndDone})
 		f.order(7, ref(2, 1))
 		third := f.take().Starts
 		Expect(third).To(HaveLen(1))
 		f.table.StartAnswered(f.now, third[0], runtable.StartAccepted)
-		f.passRenewing(150 * time.Millisecond)
+		f.advanceRenewing(150 * time.Millisecond)
 		e := f.take()
 		Expect(e.Stops).To(HaveLen(1))
 		Expect(e.Stops[0].Ref).To(Equal(ref(1, 1)))
@@ -240,7 +240,7 @@
 
 	It("are refused after the owner's lease has expired, even if a delayed heartbeat arrives", func() {
 		f := newFixture().ready()
-		f.pass(f.cfg.OwnerLease.D() + time.Millisecond)
+		f.advance(f.cfg.OwnerLease.D() + time.Millisecond)
 		f.heartbeatEchoing(7, 1) // delayed: it echoes an early stamp
 		f.take()
 		f.order(7, ref(0, 1))
@@ -257,10 +257,10 @@
 		again := f.take().Starts
 		Expect(again).To(HaveLen(1))
 		Expect(again[0].Ref).To(Equal(first.Ref))
-		f.passRenewing(f.cfg.StartLimit.D() - time.Millisecond)
+		f.advanceRenewing(f.cfg.StartLimit.D() - time.Millisecond)
 		Expect(f.take().Stops).To(BeEmpty())
 		f.renewLease(nil)
-		f.pass(2 * time.Millisecond)
+		f.advance(2 * time.Millisecond)
 		e := f.take()
 		Expect(e.Stops).To(HaveLen(1))
 		Expect(ends(e)).To(BeEmpty())
@@ -356,7 +356,7 @@
 		f := newFixture().ready()
 		f.table.OwnerUp(f.now, "older", member) // it is accepted after the newer one
 		f.table.OwnerDown(f.now, "older")
-		f.passRenewing(f.cfg.BestEffortLease.D() + 100*time.Millisecond)
+		f.advanceRenewing(f.cfg.BestEffortLease.D() + 100*time.Millisecond)
 		f.heartbeat(7) // on the connection that stays open
 		f.order(0, ref(0, wire.BestEffortRun+1))
 		Expect(f.take().Starts).To(HaveLen(1))
@@ -395,15 +395,15 @@
 		f := newFixture().ready()
 		f.order(7, ref(0, 1))
 		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
-		f.passRenewing(f.cfg.OwnerLease.D() + time.Millisecond)
+		f.advanceRenewing(f.cfg.OwnerLease.D() + time.Millisecond)
 		Expect(f.take().Stops).To(HaveLen(1))
 		f.renewLease(nil)
-		f.pass(f.cfg.StopGrace.D())
+		f.advance(f.cfg.StopGrace.D())
 		_, ok := f.table.NextRenewal(f.now)
 		Expect(ok).To(BeFalse(), "the lease must not be renewed")
 		f.order(7, ref(1, 1))
 		Expect(f.take().Starts).To(BeEmpty())
-		f.pass(f.cfg.BackendLease.D() + 100*time.Millisecond)
+		f.advance(f.cfg.BackendLease.D() + 100*time.Millisecond)
 		Expect(how(ends(f.take())[0])).To(Equal(wire.EndLapsed))
 		_, ok = f.table.NextRenewal(f.now)
 		Expect(ok).To(BeTrue())
@@ -415,7 +415,7 @@
 		f.order(0, r)
 		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
 		f.table.OwnerDown(f.now, owner)
-		f.pass(f.cfg.BestEffortLease.D() + time.Millisecond)
+		f.advance(f.cfg.BestEffortLease.D() + time.Millisecond)
 		Expect(f.take().Stops).To(HaveLen(1))
 		const resend = 1300 * time.Millisecond
 		Expect(f.cfg.BestEffortLease.D() + f.cfg.StopGrace.D()).To(BeNumerically("<", resend))
@@ -438,7 +438,7 @@
 
 	It("gets no new tasks", func() {
 		f := running()
-		f.pass(silentAfter(f) + time.Millisecond)
+		f.advance(silentAfter(f) + time.Millisecond)
 		f.take()
 		f.order(7, ref(3, 1))
 		Expect(ends(f.take())[0].Reason).To(Equal("not_ready"))
@@ -455,9 +455,9 @@
 		f := newFixture().ready()
 		f.order(7, ref(0, 1))
 		first := f.take().Starts[0]
-		f.pass(silentAfter(f) + time.Millisecond)
+		f.advance(silentAfter(f) + time.Millisecond)
 		f.table.StartAnswered(f.now, first, runtable.StartUnknown)
-		f.pass(f.cfg.StartLimit.D() - silentAfter(f))
+		f.advance(f.cfg.StartLimit.D() - silentAfter(f))
 		e := f.take()
 		Expect(e.Starts).To(BeEmpty())
 		Expect(e.Stops).To(BeEmpty())
@@ -469,14 +469,14 @@
 		f := running()
 		last, ok := f.table.NextRenewal(f.now)
 		Expect(ok).To(BeTrue())
-		f.pass(silentAfter(f) + time.Millisecond)
+		f.advance(silentAfter(f) + time.Millisecond)
 		again, ok := f.table.NextRenewal(f.now)
 		Expect(ok).To(BeTrue())
 		Expect(again.Deadline).To(Equal(last.Deadline))
 		f.take()
-		f.pass(time.Duration(float64(f.cfg.BackendLease)*1.02) - silentAfter(f) - 10*time.Millisecond)
+		f.advance(time.Duration(float64(f.cfg.BackendLease)*1.02) - silentAfter(f) - 10*time.Millisecond)
 		Expect(ends(f.take())).To(BeEmpty(), "they may run until then")
-		f.pass(100 * time.Millisecond)
+		f.advance(100 * time.Millisecond)
 		var lapsed []wire.End
 		for _, e := range ends(f.take()) {
 			lapsed = append(lapsed, how(e))
@@ -506,12 +506,12 @@
 		f.estimate = 100
 		Expect(statusOf(f).Slowness).To(BeEquivalentTo(100))
 		run(f, 0)
-		f.passRenewing(600 * time.Millisecond)
+		f.advanceRenewing(600 * time.Millisecond)
 		Expect(statusOf(f).Slowness).To(BeEquivalentTo(112), "four times, for which one run counts at most, to the power of 0.08")
 		f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndDone})
 		Expect(statusOf(f).Slowness).To(BeEquivalentTo(112))
 		run(f, 1)
-		f.passRenewing(100 * time.Millisecond)
+		f.advanceRenewing(100 * time.Millisecond)
 		Expect(statusOf(f).Slowness).To(BeEquivalentTo(112), "a run that is young says nothing")
 	})
 
@@ -523,7 +523,7 @@
 		runFor := func(index uint32, d time.Duration) {
 			f.heartbeat(7)
 			run(f, index)
-			f.passRenewing(d)
+			f.advanceRenewing(d)
 			f.heartbeat(7)
 			number++
 			f.renewLease(nil, runtable.ListedEnd{Number: number, Ref: ref(index, 1), Valid: true, How: wire.EndDone})
@@ -568,9 +568,9 @@
 	}
 	// list advances the time and then has the backend server list the run's progress.
 	list := func(f *fixture, after time.Duration, percent int) runtable.Effects {
-		f.pass(after)
+		f.advance(after)
 		f.renewLease([]runtable.ListedRun{{Ref: ref(0, 1), Percent: percent}})
-		f.pass(0)
+		f.advance(0)
 		return f.take()
 	}
 
@@ -616,9 +616,9 @@
 		g := started()
 		older, _ := g.table.NextRenewal(g.now)
 		Expect(list(g, 70*time.Millisecond, 35).Stops).To(BeEmpty())
-		g.pass(70 * time.Millisecond)
+		g.advance(70 * time.Millisecond)
 		g.table.RenewAnswered(g.now, older, runtable.RenewAnswer{Result: runtable.RenewOK, Clock: g.clock(), Running: []runtable.ListedRun{{Ref: ref(0, 1), Percent: 1}}})
-		g.pass(0)
+		g.advance(0)
 		Expect(g.take().Stops).To(BeEmpty())
 	})
 })
@@ -639,11 +639,11 @@
 		f.table.StartAnswered(f.now, start, runtable.StartUnknown)
 		Expect(f.renewLease(nil).Wait).To(Equal(f.cfg.RenewWait.D()))
 		for range 9 {
-			f.passRenewing(500 * time.Millisecond)
+			f.advanceRenewing(500 * time.Millisecond)
 			f.heartbeat(7)
 			Expect(f.renewLease(nil).Wait).To(Equal(f.cfg.RenewWait.D()))
 		}
-		f.passRenewing(500 * time.Millisecond)
+		f.advanceRenewing(500 * time.Millisecond)
 		f.heartbeat(7)
 		Expect(f.renewLease(nil).Wait).To(Equal(f.cfg.CalmRenewWait.D()), "since all have been answered for long")
 	})
@@ -735,7 +735,7 @@
 		f.renewLease(nil)
 		r := ref(0, wire.BestEffortRun+1)
 		f.renewLease([]runtable.ListedRun{{Ref: r}})
-		f.pass(f.cfg.FirstLease.D() + time.Millisecond)
+		f.advance(f.cfg.FirstLease.D() + time.Millisecond)
 		e := f.take()
 		Expect(e.Stops).To(HaveLen(1))
 		_, ok := f.table.NextRenewal(f.now)
--- a/jobs/runtable/silenced_test.go
+++ b/jobs/runtable/silenced_test.go
@@ -17,7 +17,7 @@
 		f.orderSuspects(1, 0)
 		var reported []wire.RunEnd
 		for range 60 {
-			f.pass(f.cfg.RenewWait.D())
+			f.advance(f.cfg.RenewWait.D())
 			f.heartbeatEchoing(7, f.now.Sub(time.Unix(1000, 0)).Microseconds())
 			reported = append(reported, ends(f.take())...)
 		}
--- a/jobs/runtable/speed_test.go
+++ b/jobs/runtable/speed_test.go
@@ -43,7 +43,7 @@
 		f.index++
 		f.order(7, ref(f.index, 1))
 		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
-		f.passRenewing(took)
+		f.advanceRenewing(took)
 		f.heartbeat(7)
 		f.end(ref(f.index, 1))
 	}
@@ -111,7 +111,7 @@
 		f.renewLease(adopted)
 		f.table.OwnerUp(f.now, owner, member)
 		f.heartbeat(7)
-		f.pass(time.Millisecond)
+		f.advance(time.Millisecond)
 		for _, a := range adopted {
 			f.table.SetNeeds(f.now, owner, &wire.RunNeeds{Runs: []wire.RunNeed{{Ref: a.Ref}}})
 			f.end(a.Ref)
--- a/jobs/runtable/stragglers_test.go
+++ b/jobs/runtable/stragglers_test.go
@@ -30,10 +30,10 @@
 			if at >= 100 {
 				return 0
 			}
-			f.pass(list * time.Millisecond)
+			f.advance(list * time.Millisecond)
 			f.renewLease([]runtable.ListedRun{{Ref: ref(0, 1), Percent: at}})
 			f.heartbeat(7)
-			f.pass(0)
+			f.advance(0)
 			if len(f.out.Stops)+len(f.take().Stops) > 0 {
 				return ms
 			}
