--- a/jobs/dedup/dedup.go
+++ b/jobs/dedup/dedup.go
@@ -1,13 +1,14 @@
-// Package dedup decides where a best-effort job runs whose caller has sent it to several
-// coordinators, one after the other.
+// Package dedup decides which coordinator runs a best-effort job that its caller has sent to
+// several coordinators, one after another, so that the job does not run twice.
 //
-// A caller without an answer sends its job again, to any coordinator, Settings.ResendAfter after
-// the call before. Nothing of the job is kept anywhere, so the coordinators tell each other of
-// the jobs that they have. A Table is what one of them was told; Late says which of its own jobs
-// it must give up, since it has not told others in time.
+// A caller without an answer sends its job again, to any coordinator, at least
+// Settings.ResendAfter after its previous call. Best-effort jobs are not stored anywhere, so
+// coordinators announce to each other which ones they hold. A Table holds the announcements that
+// one coordinator has received. Unannounced returns the jobs that the coordinator itself has to
+// give up because it failed to announce them in time.
 //
-// It owns what other coordinators have said of their jobs. It relies on its caller for the time,
-// for the words of others and the state of the links to them. It does no I/O and reads no clock.
+// The package owns the announced jobs of other coordinators. It relies on its caller for the
+// time, for received announcements and for lost links. It does no I/O and reads no clock.
 package dedup
 
 import (
@@ -19,94 +20,96 @@
 
 // Settings of a Table.
 type Settings struct {
-	// ResendAfter is the least time from a caller's call to the next about the same job.
+	// ResendAfter is the least time between two calls of a caller for the same job.
 	ResendAfter time.Duration
-	// RunsEndWithin is how long runs may last after the last that was heard of the coordinator that
-	// ordered them, if it is gone.
+	// RunsEndWithin is the time after the loss of a coordinator by which all runs that it had
+	// ordered have ended.
 	RunsEndWithin time.Duration
-	// StartupWait is how long a coordinator that has just begun waits for the words of others,
-	// once it has read who they are.
+	// StartupWait is how long a coordinator that has just started waits for the announcements
+	// of others, from the moment at which it knows their addresses.
 	StartupWait time.Duration
 }
 
 // Shares of Settings.ResendAfter.
 const (
-	tellShare = 0.4  // after which others are told of a job
-	lateShare = 0.85 // after which it is too late to tell them for the first time
+	announceShare = 0.4  // after which a job is announced
+	deadlineShare = 0.85 // after which it is too late for the first announcement
 )
 
-// AnnounceAfter is the age from which other coordinators are told of a job. The rest of ResendAfter
-// is for links and control goroutines that are slow.
-func (s Settings) AnnounceAfter() time.Duration { return share(s.ResendAfter, tellShare) }
+// AnnounceAfter is the age from which a job is announced to other coordinators. The rest of
+// ResendAfter leaves time for slow links and slow control goroutines.
+func (s Settings) AnnounceAfter() time.Duration { return share(s.ResendAfter, announceShare) }
 
-// AnnounceDeadline is the age from which it is too late to tell them for the first time: a copy may come
-// before it is heard.
-func (s Settings) AnnounceDeadline() time.Duration { return share(s.ResendAfter, lateShare) }
+// AnnounceDeadline is the age by which a job has to be announced: a later announcement may
+// arrive after the call that the caller sends again.
+func (s Settings) AnnounceDeadline() time.Duration { return share(s.ResendAfter, deadlineShare) }
 
 func share(d time.Duration, part float64) time.Duration { return time.Duration(part * float64(d)) }
 
-// Unannounced returns which of our jobs, all older than Settings.TooLate, are to be given up: others
-// have not been told of them. Both are in order.
-func Unannounced(old, told []durable.JobID) []durable.JobID {
+// Unannounced returns the jobs among old that are not in announced. The caller passes its own
+// jobs that are older than Settings.AnnounceDeadline, and gives up those that are returned.
+// Both slices are sorted.
+func Unannounced(old, announced []durable.JobID) []durable.JobID {
 	var late []durable.JobID
 	for _, id := range old {
-		if _, isTold := slices.BinarySearch(told, id); !isTold {
+		if _, found := slices.BinarySearch(announced, id); !found {
 			late = append(late, id)
 		}
 	}
 	return late
 }
 
-// Peer is another coordinator: its address, and its process there.
+// Peer identifies one process of another coordinator.
 type Peer struct {
 	Address     string
-	Incarnation string
+	Incarnation string // differs between the processes that run at an address in turn
 }
 
-// word is what a coordinator has said last.
-type word struct {
-	at   time.Time
-	jobs map[durable.JobID]struct{}
-	gone time.Time // when the link to it was lost, or its successor was heard; zero while it is there
+// announcement is the last list of jobs received from a coordinator.
+type announcement struct {
+	receivedAt time.Time
+	jobs       map[durable.JobID]struct{}
+	// lostAt is when the link to the coordinator was lost, its announcements stopped or its
+	// successor announced jobs; zero while it is connected.
+	lostAt time.Time
 }
 
-// Table is what one coordinator was told by others.
+// Table holds what other coordinators have announced to one coordinator.
 type Table struct {
-	cfg   Settings
-	words map[Peer]*word
-	// awaited are the coordinators that were there before us and have said nothing yet, by
-	// address.
+	cfg           Settings
+	announcements map[Peer]*announcement
+	// awaited holds the addresses of the initial peers that have announced nothing yet.
 	awaited map[string]struct{}
-	knownAt time.Time // when awaited was filled; zero before
+	knownAt time.Time // when the initial peers were set; zero before
 }
 
 // New returns an empty table.
 func New(cfg Settings) *Table {
-	return &Table{cfg: cfg, words: make(map[Peer]*word), awaited: make(map[string]struct{})}
+	return &Table{cfg: cfg, announcements: make(map[Peer]*announcement), awaited: make(map[string]struct{})}
 }
 
 // Settings returns the settings of the table.
 func (t *Table) Settings() Settings { return t.cfg }
 
-// SetInitialPeers tells the table of the other coordinators that were registered when this process
-// first read of them; later calls change nothing.
+// SetInitialPeers sets the addresses of the other coordinators that were registered when this
+// process first read the registrations. Only the first call has an effect.
 func (t *Table) SetInitialPeers(now time.Time, addresses []string) {
 	if t.InitialPeersKnown() {
 		return
 	}
 	t.knownAt = now
 	for _, address := range addresses {
-		if !t.heard(address) {
+		if !t.hasAnnounced(address) {
 			t.awaited[address] = struct{}{}
 		}
 	}
 }
 
-// InitialPeersKnown returns whether Known was called.
+// InitialPeersKnown returns whether SetInitialPeers was called.
 func (t *Table) InitialPeersKnown() bool { return !t.knownAt.IsZero() }
 
-func (t *Table) heard(address string) bool {
-	for p := range t.words {
+func (t *Table) hasAnnounced(address string) bool {
+	for p := range t.announcements {
 		if p.Address == address {
 			return true
 		}
@@ -114,94 +117,100 @@
 	return false
 }
 
-// Ready returns whether the coordinators that were there before us have told what they have.
-// One that says nothing is waited for until Settings.Greeting after Known.
+// Ready returns whether every initial peer has announced its jobs, or Settings.StartupWait has
+// passed since SetInitialPeers. Before that an unknown job may be held by another coordinator.
 func (t *Table) Ready(now time.Time) bool {
 	return t.InitialPeersKnown() && (len(t.awaited) == 0 || now.Sub(t.knownAt) >= t.cfg.StartupWait)
 }
 
-// Update takes the word of a coordinator of its jobs, which replaces all that it said before.
-// What an earlier process at the address had may run on for a while.
+// Update records the jobs that a coordinator has announced, in place of those that it announced
+// before. Earlier processes at the same address count as lost: their runs may last for a while.
 func (t *Table) Update(now time.Time, from Peer, jobs []durable.JobID) {
 	delete(t.awaited, from.Address)
-	for p, w := range t.words {
+	for p, a := range t.announcements {
 		if p.Address == from.Address && p != from {
-			w.leave(now)
+			a.markLost(now)
 		}
 	}
-	w := &word{at: now, jobs: make(map[durable.JobID]struct{}, len(jobs))}
+	a := &announcement{receivedAt: now, jobs: make(map[durable.JobID]struct{}, len(jobs))}
 	for _, id := range jobs {
-		w.jobs[id] = struct{}{}
+		a.jobs[id] = struct{}{}
 	}
-	t.words[from] = w
+	t.announcements[from] = a
 }
 
-// LinkLost tells the table that the link to the coordinator is lost. It may be there nevertheless.
+// LinkLost records that the link to the coordinator at the address is lost. The coordinator
+// itself may still be running, so its jobs are kept until their runs must have ended.
 func (t *Table) LinkLost(now time.Time, address string) {
-	for p, w := range t.words {
+	for p, a := range t.announcements {
 		if p.Address == address {
-			w.leave(now)
+			a.markLost(now)
 		}
 	}
 }
 
-func (w *word) leave(now time.Time) {
-	if w.gone.IsZero() {
-		w.gone = now
+func (a *announcement) markLost(now time.Time) {
+	if a.lostAt.IsZero() {
+		a.lostAt = now
 	}
 }
 
-// Holder returns the address of the coordinator that has the job. held says that one has it, or
-// may have: without an address it cannot be reached now.
+// Holder returns the address of the connected coordinator that has announced the job. held is
+// also true where a lost coordinator had announced it and its runs may not have ended; the
+// address is then empty.
 func (t *Table) Holder(now time.Time, id durable.JobID) (address string, held bool) {
-	for p, w := range t.words {
-		switch _, has := w.jobs[id]; {
+	for p, a := range t.announcements {
+		switch _, has := a.jobs[id]; {
 		case !has:
-		case w.gone.IsZero():
+		case a.lostAt.IsZero():
 			address, held = max(address, p.Address), true
-		case now.Before(t.end(w)):
+		case now.Before(t.runsEnd(a)):
 			held = true
 		}
 	}
 	return address, held
 }
 
-// HeldBy returns whether the coordinator at the address has last said that it has the job.
+// HeldBy returns whether the last announcement of the coordinator at the address lists the job
+// and the coordinator is not lost.
 func (t *Table) HeldBy(address string, id durable.JobID) bool {
-	for p, w := range t.words {
-		if _, has := w.jobs[id]; has && p.Address == address && w.gone.IsZero() {
+	for p, a := range t.announcements {
+		if _, has := a.jobs[id]; has && p.Address == address && a.lostAt.IsZero() {
 			return true
 		}
 	}
 	return false
 }
 
-// sayEvery is how often coordinators say something at the least, and silentAfter when one is
-// taken for lost that has said nothing: the rest of what it said over a connection that broke
-// may be read after the loss of the link to it.
 const (
-	sayEvery    = time.Second
-	silentAfter = 3 * sayEvery
+	// announceInterval is the longest time between two announcements of a coordinator.
+	announceInterval = time.Second
+	// announceTimeout is how long after its last announcement a coordinator counts as lost. An
+	// announcement that was sent over a broken connection may be read after LinkLost, and would
+	// otherwise hold its jobs for ever.
+	announceTimeout = 3 * announceInterval
 )
 
-// end returns when the runs are over that a lost coordinator had ordered, if it is gone: it
-// was there when its last word came, and not much longer where the loss was noticed late.
-func (t *Table) end(w *word) time.Time {
-	last := w.at.Add(sayEvery)
-	if w.gone.Before(last) {
-		last = w.gone
+// runsEnd returns when all runs ordered by a lost coordinator have ended. It counts from the
+// loss of the link, or, where the loss was noticed late, from announceInterval after the last
+// announcement: a coordinator that was still running would have announced again by then.
+func (t *Table) runsEnd(a *announcement) time.Time {
+	last := a.receivedAt.Add(announceInterval)
+	if a.lostAt.Before(last) {
+		last = a.lostAt
 	}
 	return last.Add(t.cfg.RunsEndWithin)
 }
 
-// Expire drops the words of lost coordinators whose runs are over.
+// Expire marks coordinators as lost that have announced nothing for announceTimeout, and removes
+// the announcements of lost coordinators whose runs have ended.
 func (t *Table) Expire(now time.Time) {
-	for p, w := range t.words {
-		if now.Sub(w.at) >= silentAfter {
-			w.leave(now)
+	for p, a := range t.announcements {
+		if now.Sub(a.receivedAt) >= announceTimeout {
+			a.markLost(now)
 		}
-		if !w.gone.IsZero() && !now.Before(t.end(w)) {
-			delete(t.words, p)
+		if !a.lostAt.IsZero() && !now.Before(t.runsEnd(a)) {
+			delete(t.announcements, p)
 		}
 	}
 }
--- a/jobs/dedup/dedup_test.go
+++ b/jobs/dedup/dedup_test.go
@@ -11,7 +11,7 @@
 	"github.com/lichenfall/lichenfall/jobs/durable"
 )
 
-func TestCopies(t *testing.T) {
+func TestDedup(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "dedup")
 }
@@ -22,13 +22,13 @@
 	settings = dedup.Settings{ResendAfter: 1300 * time.Millisecond, RunsEndWithin: 2120 * time.Millisecond, StartupWait: 400 * time.Millisecond}
 	start    = time.Unix(1000, 0)
 	first    = dedup.Peer{Address: "10.0.0.1:7720", Incarnation: "a"}
-	again    = dedup.Peer{Address: "10.0.0.1:7720", Incarnation: "b"}
+	next     = dedup.Peer{Address: "10.0.0.1:7720", Incarnation: "b"}
 )
 
-// after returns the time so many milliseconds from the start.
+// after returns the time ms milliseconds after start.
 func after(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func holds(t *dedup.Table, ms int) bool {
+func isHeld(t *dedup.Table, ms int) bool {
 	_, held := t.Holder(after(ms), job)
 	return held
 }
@@ -37,56 +37,56 @@
 	var t *dedup.Table
 	BeforeEach(func() { t = dedup.New(settings) })
 
-	It("is with whoever has said last that it has it", func() {
-		Expect(holds(t, 0)).To(BeFalse())
+	It("is held by the coordinator whose last announcement lists it", func() {
+		Expect(isHeld(t, 0)).To(BeFalse())
 		t.Update(start, first, []durable.JobID{job})
 		address, held := t.Holder(start, job)
 		Expect(address).To(Equal(first.Address))
 		Expect(held).To(BeTrue())
 		Expect(t.HeldBy(first.Address, job)).To(BeTrue())
 		t.Update(after(100), first, nil)
-		Expect(holds(t, 100)).To(BeFalse())
+		Expect(isHeld(t, 100)).To(BeFalse())
 	})
 
-	It("is nobody's to run when its coordinator is lost, until its runs are over", func() {
+	It("is held without an address after its coordinator is lost, until its runs must have ended", func() {
 		t.Update(start, first, []durable.JobID{job})
 		t.LinkLost(after(100), first.Address)
 		address, held := t.Holder(after(1300), job)
 		Expect(address).To(BeEmpty())
-		Expect(held).To(BeTrue(), "a copy comes while its runs may still be at work")
-		Expect(holds(t, 2219)).To(BeTrue())
-		Expect(holds(t, 2221)).To(BeFalse())
+		Expect(held).To(BeTrue(), "a resent call arrives while runs of the job may still last")
+		Expect(isHeld(t, 2219)).To(BeTrue())
+		Expect(isHeld(t, 2221)).To(BeFalse())
 		t.Expire(after(2221))
 		Expect(t.HeldBy(first.Address, job)).To(BeFalse())
 	})
 
-	It("counts from when its coordinator last spoke where its loss was noticed late", func() {
+	It("is held for a time that counts from the last announcement where the loss is noticed late", func() {
 		t.Update(start, first, []durable.JobID{job})
 		t.LinkLost(after(2500), first.Address)
-		Expect(holds(t, 3119)).To(BeTrue())
-		Expect(holds(t, 3121)).To(BeFalse())
+		Expect(isHeld(t, 3119)).To(BeTrue())
+		Expect(isHeld(t, 3121)).To(BeFalse())
 	})
 
-	It("is not forgotten for the word of the next process at the address", func() {
+	It("is still held when the next process at the address announces its jobs", func() {
 		t.Update(start, first, []durable.JobID{job})
-		t.Update(after(300), again, nil)
-		Expect(holds(t, 1300)).To(BeTrue())
-		Expect(holds(t, 2421)).To(BeFalse())
+		t.Update(after(300), next, nil)
+		Expect(isHeld(t, 1300)).To(BeTrue())
+		Expect(isHeld(t, 2421)).To(BeFalse())
 	})
 
-	It("is not held for ever by a word that is read after the loss", func() {
+	It("is not held for ever by an announcement that is read after the loss", func() {
 		t.LinkLost(start, first.Address)
 		t.Update(after(1), first, []durable.JobID{job})
 		for ms := 0; ms < 3000; ms += 100 {
 			t.Expire(after(ms))
-			Expect(holds(t, ms+1)).To(BeTrue())
+			Expect(isHeld(t, ms+1)).To(BeTrue())
 		}
 		t.Expire(after(3001))
 		t.Expire(after(3122))
-		Expect(holds(t, 3122)).To(BeFalse())
+		Expect(isHeld(t, 3122)).To(BeFalse())
 	})
 
-	It("is there again when its coordinator is", func() {
+	It("is held with an address again when its coordinator announces it again", func() {
 		t.Update(start, first, []durable.JobID{job})
 		t.LinkLost(after(100), first.Address)
 		t.Update(after(300), first, []durable.JobID{job})
@@ -95,10 +95,10 @@
 	})
 })
 
-var _ = Describe("a coordinator that has just begun", func() {
-	It("waits for the words of those that were there before, for a while", func() {
+var _ = Describe("a coordinator that has just started", func() {
+	It("waits a limited time for the announcements of coordinators that were registered before it", func() {
 		t := dedup.New(settings)
-		Expect(t.Ready(after(5000))).To(BeFalse(), "nobody has been read of")
+		Expect(t.Ready(after(5000))).To(BeFalse(), "the initial peers are not known yet")
 		t.SetInitialPeers(start, []string{first.Address, "10.0.0.2:7720"})
 		t.Update(after(100), first, nil)
 		Expect(t.Ready(after(100))).To(BeFalse())
@@ -107,18 +107,18 @@
 		Expect(t.Ready(after(200))).To(BeTrue())
 	})
 
-	It("waits for nobody where it is alone, or who has spoken already", func() {
+	It("waits for no coordinator if there is none, or all have announced already", func() {
 		t := dedup.New(settings)
 		t.Update(start, first, nil)
 		t.SetInitialPeers(start, []string{first.Address})
 		Expect(t.Ready(start)).To(BeTrue())
 		t.SetInitialPeers(start, []string{"10.0.0.2:7720"})
-		Expect(t.Ready(start)).To(BeTrue(), "one that came later has nothing of before")
+		Expect(t.Ready(start)).To(BeTrue(), "a coordinator that registered later holds no earlier job")
 	})
 })
 
-var _ = Describe("a job of ours", func() {
-	It("is given up when others were not told of it in time", func() {
+var _ = Describe("a job of this coordinator", func() {
+	It("is given up when it was not announced in time", func() {
 		Expect(settings.AnnounceAfter()).To(BeNumerically("<", settings.AnnounceDeadline()))
 		Expect(settings.AnnounceDeadline()).To(BeNumerically("<", settings.ResendAfter))
 		old := []durable.JobID{"1", "2", "3"}
--- a/jobs/dedup/stall.go
+++ b/jobs/dedup/stall.go
@@ -2,41 +2,42 @@
 
 import "time"
 
-// StallTracker is what a process knows of times in which it handled nothing: a call that is taken
-// soon after may have waited for as long.
+// StallTracker records times in which a process handled nothing. A call that it takes soon after
+// such a stall may have waited for as long as the stall lasted, before it was read.
 type StallTracker struct {
-	by    time.Duration
-	until time.Time // calls that are taken before may have waited
+	length time.Duration // of the last stall; stalls in close succession are added up
+	until  time.Time     // calls that are taken before may have waited
 }
 
-// What was sent to a process while it handled nothing is read within readLeast and a readShare of
-// that time, as far as it is still of use.
+// Messages that were sent to a process while it was stalled, and are still of use, are read within
+// minCatchUp plus catchUpShare of the stall after its end.
 const (
-	readLeast = 100 * time.Millisecond
-	readShare = 0.125 // of the time
+	minCatchUp   = 100 * time.Millisecond
+	catchUpShare = 0.125 // of the length of the stall
 )
 
-// Add takes that nothing was handled for so long until now. What is late again while it still
-// reads is later by that.
-func (l *StallTracker) Add(now time.Time, by time.Duration) {
-	if now.Before(l.until) {
-		by += l.by
+// Add records a stall of the given length that has ended now. A stall that follows while messages
+// of the previous one are still being read adds to its length.
+func (s *StallTracker) Add(now time.Time, length time.Duration) {
+	if now.Before(s.until) {
+		length += s.length
 	}
-	l.by = by
-	if until := now.Add(readLeast + share(by, readShare)); until.After(l.until) {
-		l.until = until
+	s.length = length
+	if until := now.Add(minCatchUp + share(length, catchUpShare)); until.After(s.until) {
+		s.until = until
 	}
 }
 
-// EarliestSent returns when a call may have been sent that was read at came and is taken now.
-func (l *StallTracker) EarliestSent(now, came time.Time) time.Time {
-	if waited := now.Add(-l.by); now.Before(l.until) && waited.Before(came) {
+// EarliestSent returns the earliest time at which a call that was read at received and is taken
+// now may have been sent.
+func (s *StallTracker) EarliestSent(now, received time.Time) time.Time {
+	if waited := now.Add(-s.length); now.Before(s.until) && waited.Before(received) {
 		return waited
 	}
-	return came
+	return received
 }
 
-// MayBeOlder returns whether a call that is taken now may have waited for as long as age.
-func (l *StallTracker) MayBeOlder(now time.Time, age time.Duration) bool {
-	return now.Before(l.until) && l.by >= age
+// MayBeOlder returns whether a call that is taken now may have waited for age or longer.
+func (s *StallTracker) MayBeOlder(now time.Time, age time.Duration) bool {
+	return now.Before(s.until) && s.length >= age
 }
