--- a/jobs/ownership/ownership_test.go
+++ b/jobs/ownership/ownership_test.go
@@ -27,7 +27,7 @@
 		return table.Joined(start.Add(sent), start.Add(now), store.Assignment{Generation: generation, Partitions: partitions})
 	}
 
-	It("come and go with the answers", func() {
+	It("are acquired and released as the assignment changes", func() {
 		c := join(0, 0, 3, 1, 2)
 		Expect(c.Acquired).To(ConsistOf(uint32(1), uint32(2)))
 		Expect(c.Epoch).To(Equal(uint64(3)))
@@ -36,20 +36,20 @@
 		Expect(c.Released).To(ConsistOf(uint32(1)))
 	})
 
-	It("are held from the sending of the join, not from its answer", func() {
+	It("are leased from the time at which the join was sent, not from its answer", func() {
 		join(0, 900*time.Millisecond, 1, 1)
 		Expect(table.Valid(start.Add(999 * time.Millisecond))).To(BeTrue())
 		Expect(table.Valid(start.Add(time.Second))).To(BeFalse())
 	})
 
-	It("are kept over a gap in which nothing changed", func() {
+	It("are kept after the lease has expired if the generation is the same", func() {
 		join(0, 0, 1, 1)
 		c := join(5*time.Second, 5*time.Second, 1, 1)
 		Expect(c.Acquired).To(BeEmpty())
 		Expect(c.Released).To(BeEmpty())
 	})
 
-	It("are read anew after a gap in which another may have had them", func() {
+	It("are acquired again if the generation has changed since the lease expired", func() {
 		join(0, 0, 1, 1)
 		c := join(5*time.Second, 5*time.Second, 3, 1)
 		Expect(c.Released).To(ConsistOf(uint32(1)))
@@ -57,7 +57,7 @@
 		Expect(c.Epoch).To(Equal(uint64(3)))
 	})
 
-	It("are read anew after changes of which more than one was missed: another may have had them in between", func() {
+	It("are acquired again after more than one change of the generation, since another member may have owned them in between", func() {
 		join(0, 0, 1, 1, 2)
 		c := join(100*time.Millisecond, 100*time.Millisecond, 2, 1)
 		Expect(c.Released).To(ConsistOf(uint32(2)))
@@ -66,7 +66,7 @@
 		Expect(c.Acquired).To(ConsistOf(uint32(1)))
 	})
 
-	It("are read anew after another owner was seen", func() {
+	It("are acquired again after another owner was seen", func() {
 		join(0, 0, 1, 1)
 		table.Lost(1)
 		c := join(100*time.Millisecond, 100*time.Millisecond, 2, 1)
--- a/jobs/registration/registration.go
+++ b/jobs/registration/registration.go
@@ -1,14 +1,17 @@
-// Package registration makes a coordinator or worker known to the others, by a
-// record in the store. It owns what is known of that record, and relies on the store
-// being reached some day: it tries until then.
+// Package registration registers a coordinator or worker with the others, by a record in the
+// store. It owns what is known of that record, and relies on the store to be reachable at some
+// point: it retries until then.
 //
-// All records are in one partition, which takes its appends in turn, and readings wait
-// for them. When all processes start at once, nobody finds the others until the last
-// append before the reading is done. So a record that is there already is not written
-// again, and one that only tells more of an address that is known is put off. And a worker
-// does not read the records to find its own among those of all: a coordinator that
-// connects to it has read them, and tells. With 984 processes that read 474 MB were read on
-// a return of all, with the coordinators alone 56 MB (platform TestFleet).
+// The records of all processes are in one partition, which executes its appends one by one, and
+// reads wait for the appends before them. When all processes start at once, no process finds the
+// others until the last append before its read is done. Three rules keep appends and reads few:
+//
+//   - A record that is already stored is not written again.
+//   - A record that only updates an address which others already know is delayed.
+//   - A worker does not read the records of all processes to find its own. A coordinator that
+//     connects to it has read them, and reports the worker's record to it. When 984 processes
+//     restarted together and each of them read the records, they read 474 MB; with the
+//     coordinators alone they read 56 MB (platform TestFleet).
 package registration
 
 import (
@@ -25,102 +28,103 @@
 )
 
 const (
-	// callLimit is how long one append may take: longer than the store lets appends wait for
-	// each other, 2 s, or it would be made again while the first still waits.
+	// callLimit is the timeout of one append. The store lets appends wait for each other for up
+	// to 2 s; with a shorter timeout an append would be repeated while the first still waits.
 	callLimit = 4 * time.Second
-	// toldWithin is how long a worker waits at least to be told what the store has: more than
-	// coordinators that run take to connect to it, 0.2 s. Up to as much again is added by
-	// chance, so that not all register in one moment.
-	toldWithin = time.Second
-	// putOffMost is how long a record is put off at most that the others can do without,
-	// evenly spread: they connect to the address that they know, and hear the rest there.
-	// So 240 appends of 4 ms each fill a fifth of the time.
-	putOffMost = 5 * time.Second
+	// reportWait is the least time that a worker waits for a report of its stored record. Running
+	// coordinators take 0.2 s to connect to it. A random time of up to as much again is added, so
+	// that workers that start together don't register at the same moment.
+	reportWait = time.Second
+	// maxUpdateDelay is the longest delay before a record is updated; delays are uniformly random.
+	// Others can do without the update: they connect to the address that they know, and receive
+	// the rest over the connection. 240 appends of 4 ms each take a fifth of this time.
+	maxUpdateDelay = 5 * time.Second
 )
 
-// refused is the pause after an append that failed, half of it by chance. What fails is most
-// often a queue of appends that is full, which the store lets grow to 2 s: so long it takes
-// to be empty. At 2,000 boxes, with a fixed pause of 300 ms, a first start was not over in a
-// minute, for 204,891 refusals (platform TestFleet).
-var refused = retry.Backoff{Base: 2 * time.Second, Max: 4 * time.Second}
+// retryBackoff is the pause after a failed append, half of it random. The usual cause is a full
+// queue of appends, which the store lets grow to 2 s of work and so takes 2 s to drain. At 2,000
+// boxes a fixed pause of 300 ms led to 204,891 refusals, and the first start of all took more than
+// a minute (platform TestFleet).
+var retryBackoff = retry.Backoff{Base: 2 * time.Second, Max: 4 * time.Second}
 
-// Registrar keeps the record of one process. It is used by one goroutine at a time, but for
-// Tell.
+// Registrar writes the record of one process. All methods but Report are for one goroutine at a
+// time.
 type Registrar struct {
-	store store.Store
-	log   *logging.Log
-	told  chan *store.Member // what the store has, by word of others; holds the newest
+	store    store.Store
+	log      *logging.Log
+	reported chan *store.Member // the newest report of the stored record
 
-	recalled bool // member and found are what the store has
+	recorded bool // member and found describe what is stored
 	member   store.Member
 	found    bool
 }
 
-// NewRegistrar returns the keeper of the record of a process.
+// NewRegistrar returns the registrar of a process.
 func NewRegistrar(s store.Store, log *logging.Log) *Registrar {
-	return &Registrar{store: s, log: log, told: make(chan *store.Member, 1)}
+	return &Registrar{store: s, log: log, reported: make(chan *store.Member, 1)}
 }
 
-// Report tells the keeper what the store has, by word of another process that has read it. It
-// may be called by any goroutine, and does not block.
-func (k *Registrar) Report(m store.Member) {
+// Report passes on the stored record as another process has read it. It may be called by any
+// goroutine, and does not block.
+func (r *Registrar) Report(m store.Member) {
 	select {
-	case <-k.told:
+	case <-r.reported:
 	default:
 	}
 	select {
-	case k.told <- &m:
-	default: // somebody else has told the same moment
+	case r.reported <- &m:
+	default: // a concurrent call has reported at the same moment
 	}
 }
 
-// SetRecorded tells the keeper what was read of the record.
-func (k *Registrar) SetRecorded(m store.Member, found bool) {
-	k.recalled, k.member, k.found = true, m, found
+// SetRecorded sets the stored record of the process; found is false if there is none.
+func (r *Registrar) SetRecorded(m store.Member, found bool) {
+	r.recorded, r.member, r.found = true, m, found
 }
 
-// Register sees that the store has the record: it tries until then, until ctx ends, or until
-// superseded says that there is something newer to register.
-func (k *Registrar) Register(ctx context.Context, m store.Member, superseded func() bool) {
-	if !k.recalled {
-		k.awaitWord(ctx)
+// Register makes sure that m is stored: it retries until the store has it, ctx ends, or
+// superseded returns that there is a newer record to register. It does nothing if m is stored
+// already, and waits up to maxUpdateDelay if the stored record differs from m but has its role.
+func (r *Registrar) Register(ctx context.Context, m store.Member, superseded func() bool) {
+	if !r.recorded {
+		r.awaitReport(ctx)
 	}
-	if k.found && m.Same(&k.member) {
-		k.log.Info("registered_before", zap.String("address", m.Address))
+	if r.found && m.Same(&r.member) {
+		r.log.Info("registered_before", zap.String("address", m.Address))
 		return
 	}
-	if k.found && m.Role == k.member.Role {
-		loop.Sleep(ctx, rand.N(putOffMost))
+	if r.found && m.Role == r.member.Role {
+		loop.Sleep(ctx, rand.N(maxUpdateDelay))
 	}
 	for try := 0; ctx.Err() == nil && !superseded(); try++ {
-		if k.registerOnce(ctx, m) {
+		if r.registerOnce(ctx, m) {
 			return
 		}
-		loop.Sleep(ctx, refused.Delay(try, rand.Float64()))
+		loop.Sleep(ctx, retryBackoff.Delay(try, rand.Float64()))
 	}
 }
 
-// awaitWord waits a while for the word of another process.
-func (k *Registrar) awaitWord(ctx context.Context) {
-	late := time.NewTimer(toldWithin + rand.N(toldWithin))
-	defer late.Stop()
+// awaitReport waits for a report of the stored record, up to twice reportWait.
+func (r *Registrar) awaitReport(ctx context.Context) {
+	timeout := time.NewTimer(reportWait + rand.N(reportWait))
+	defer timeout.Stop()
 	select {
-	case m := <-k.told:
-		k.SetRecorded(*m, true)
-	case <-late.C:
+	case m := <-r.reported:
+		r.SetRecorded(*m, true)
+	case <-timeout.C:
 	case <-ctx.Done():
 	}
 }
 
-func (k *Registrar) registerOnce(ctx context.Context, m store.Member) bool {
+func (r *Registrar) registerOnce(ctx context.Context, m store.Member) bool {
 	call, cancel := context.WithTimeout(ctx, callLimit)
 	defer cancel()
-	if err := k.store.Register(call, m); err != nil {
-		k.recalled, k.found = true, false // it may have been written, or not
-		k.log.Warn("register_failed", zap.Error(err))
+	if err := r.store.Register(call, m); err != nil {
+		r.recorded, r.found = true, false // the append may or may not have been executed
+		r.log.Warn("register_failed", zap.Error(err))
 		return false
 	}
-	k.SetRecorded(m, true)
-	k.log.Info("registered", zap.String("address", m.Address))
+	r.SetRecorded(m, true)
+	r.log.Info("registered", zap.String("address", m.Address))
 	return true
 }
--- a/jobs/registration/registration_test.go
+++ b/jobs/registration/registration_test.go
@@ -12,9 +12,9 @@
 	"github.com/lichenfall/lichenfall/lib/logging"
 )
 
-// records is a store that holds the records of processes alone.
+// records is a store that holds the records of processes and nothing else.
 type records struct {
-	store.Store // none of its other methods is called
+	store.Store // nil: none of its other methods is called
 	members     map[string]store.Member
 	refuseUntil time.Time
 	refusals    int
@@ -39,45 +39,45 @@
 	}}
 }
 
-func TestKeeper(t *testing.T) {
+func TestRegistrar(t *testing.T) {
 	never := func() bool { return false }
 	for _, c := range []struct {
 		name             string
-		told             *store.Member // by a coordinator, after so long
-		after            time.Duration
+		reported         *store.Member // by a coordinator
+		after            time.Duration // from the start to the report
 		read             *store.Member // by the process itself
 		writes           int
 		earliest, latest time.Duration
 	}{
-		{name: "an address of which nobody tells is registered soon", writes: 1, earliest: time.Second, latest: 2 * time.Second},
-		{name: "a record that is there is not written again", told: new(record("i-1")), after: 200 * time.Millisecond},
-		{name: "a record that was read is not written again", read: new(record("i-1"))},
-		{name: "what is new of an address that is known is put off", told: new(record("i-0")), writes: 1, earliest: time.Millisecond, latest: 5 * time.Second},
-		{name: "the record of another role is written at once", told: &store.Member{Address: address, Role: store.RoleCoordinator}, writes: 1},
-		{name: "word that comes late changes nothing", told: new(record("i-0")), after: 3 * time.Second, writes: 1, earliest: time.Second, latest: 2 * time.Second},
+		{name: "a record that nobody reports is written soon", writes: 1, earliest: time.Second, latest: 2 * time.Second},
+		{name: "a stored record that is reported is not written again", reported: new(record("i-1")), after: 200 * time.Millisecond},
+		{name: "a stored record that was read is not written again", read: new(record("i-1"))},
+		{name: "an update of a stored record is delayed", reported: new(record("i-0")), writes: 1, earliest: time.Millisecond, latest: 5 * time.Second},
+		{name: "a record with a new role is written at once", reported: &store.Member{Address: address, Role: store.RoleCoordinator}, writes: 1},
+		{name: "a late report changes nothing", reported: new(record("i-0")), after: 3 * time.Second, writes: 1, earliest: time.Second, latest: 2 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := &records{members: make(map[string]store.Member)}
 				began := time.Now()
-				k := registration.NewRegistrar(r, logging.Discard())
+				registrar := registration.NewRegistrar(r, logging.Discard())
 				if c.read != nil {
-					k.SetRecorded(*c.read, true)
+					registrar.SetRecorded(*c.read, true)
 				}
-				if c.told != nil {
-					time.AfterFunc(c.after, func() { k.Report(*c.told) })
+				if c.reported != nil {
+					time.AfterFunc(c.after, func() { registrar.Report(*c.reported) })
 				}
-				k.Register(context.Background(), record("i-1"), never)
+				registrar.Register(context.Background(), record("i-1"), never)
 				if len(r.writes) != c.writes {
-					t.Fatalf("%d writes, not %d", len(r.writes), c.writes)
+					t.Fatalf("%d writes, want %d", len(r.writes), c.writes)
 				}
 				for _, at := range r.writes {
 					if took := at.Sub(began); took < c.earliest || took > c.latest {
-						t.Errorf("written after %v, not between %v and %v", took, c.earliest, c.latest)
+						t.Errorf("written after %v, want between %v and %v", took, c.earliest, c.latest)
 					}
 				}
 				time.Sleep(c.after)
-				k.Register(context.Background(), record("i-1"), never)
+				registrar.Register(context.Background(), record("i-1"), never)
 				if len(r.writes) != c.writes {
 					t.Error("the same record was written again")
 				}
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestRefusedRegistrations holds that a store which refuses is asked less and less often, by
-// each process at times of its own, and is reached soon after it takes appends again.
+// TestRefusedRegistrations checks that a process backs off, with random pauses, while the store
+// refuses appends, and registers soon after the store accepts them again.
 func TestRefusedRegistrations(t *testing.T) {
 	const outage = 30 * time.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -95,10 +95,10 @@
 		began := time.Now()
 		registration.NewRegistrar(r, logging.Discard()).Register(context.Background(), record("i-1"), func() bool { return false })
 		if r.refusals > 14 {
-			t.Errorf("asked %d times in %v", r.refusals, outage)
+			t.Errorf("%d refused appends in %v", r.refusals, outage)
 		}
 		if late := time.Since(began) - outage; late > 6*time.Second {
-			t.Errorf("registered %v after the outage", late)
+			t.Errorf("registered %v after the end of the outage", late)
 		}
 	})
 }
--- a/jobs/routing/evacuations.go
+++ b/jobs/routing/evacuations.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// Evacuations are the data centres in which operators want no task started, as they stood
-// at one moment. What runs there is left to end.
+// Evacuations lists the data centres in which operators allow no task to start, at one point of
+// their records. Tasks that already run there continue to their end.
 type Evacuations struct {
-	// Offset says how far the operators' records had been read; 0 is before any. The store
-	// gives offsets in the order of the operators' writes, so of two readings that with the
-	// higher one is newer, whichever process read it.
+	// Offset is how far the operators' records had been read; 0 is before the first. The store
+	// assigns offsets in the order of the operators' writes, so the value with the higher offset
+	// is the newer one, whichever process read it.
 	Offset      uint64
 	DataCentres []string // sorted
 }
@@ -18,13 +18,13 @@
 	return found
 }
 
-// SameDataCentres returns whether the two name the same data centres.
+// SameDataCentres returns whether e and o list the same data centres; their offsets may differ.
 func (e Evacuations) SameDataCentres(o Evacuations) bool {
 	return slices.Equal(e.DataCentres, o.DataCentres)
 }
 
-// OperatorUpdate is what a reading of the operators' records has brought.
+// OperatorUpdate is the result of one reading of the operators' records.
 type OperatorUpdate struct {
-	Configuration *Configuration // nil where it has brought none
-	Evacuations   Evacuations    // those that stand
+	Configuration *Configuration // nil where the reading brought none
+	Evacuations   Evacuations    // those in force
 }
--- a/jobs/routing/routing.go
+++ b/jobs/routing/routing.go
@@ -1,6 +1,6 @@
-// Package routing holds the operators' configuration, and finds the queue that a
-// caller's request goes to. A configuration is never changed once it is made; the
-// adapter makes them and the coordinator keeps the newest. It does no I/O.
+// Package routing holds the operators' configuration and their evacuations of data centres, and
+// finds the queue that a caller's request goes to. A Configuration is immutable: an adapter of
+// the store parses it, and the coordinator keeps the newest. The package does no I/O.
 package routing
 
 import (
@@ -9,24 +9,23 @@
 	"github.com/lichenfall/lichenfall/jobs/durable"
 )
 
-// Rule sends requests to a queue.
+// Rule sends requests for a host and a path prefix to a queue.
 type Rule struct {
-	Host   string
+	Host   string // compared with the host of the request, in lower case and without its port
 	Prefix string // of the path
 	Queue  durable.Queue
 }
 
-// Configuration is one version of the configuration, whole. It is not changed
-// after it was made.
+// Configuration is one complete version of the operators' configuration. It is immutable.
 type Configuration struct {
 	Version   uint64
 	Rules     []Rule
-	MaxHeader int   // bytes; 0 is no bound of the operators'
-	MaxBody   int64 // bytes; 0 is no bound of the operators'
+	MaxHeader int   // bytes; 0 if operators set no limit
+	MaxBody   int64 // bytes; 0 if operators set no limit
 }
 
-// Lookup returns the rule with the longest prefix of the path, and the rest of
-// the path.
+// Lookup returns the rule of the host that has the longest prefix of the path, and the rest of
+// the path after that prefix. host may have a port and capitals. rule is nil if none matches.
 func (c *Configuration) Lookup(host, path string) (rule *Rule, rest string) {
 	host = strings.ToLower(withoutPort(host))
 	for i := range c.Rules {
--- a/jobs/routing/routing_test.go
+++ b/jobs/routing/routing_test.go
@@ -22,21 +22,21 @@
 		{Host: "b.example", Prefix: "/one/", Queue: durable.Queue{Name: "other"}},
 	}}
 
-	DescribeTable("is that of the host and the longest prefix", func(host, path, queue, rest string) {
-		rule, left := cfg.Lookup(host, path)
+	DescribeTable("is that of the rule with the host and the longest prefix of the path", func(host, path, queue, rest string) {
+		rule, actualRest := cfg.Lookup(host, path)
 		if queue == "" {
 			Expect(rule).To(BeNil())
 			return
 		}
 		Expect(rule).NotTo(BeNil())
 		Expect(rule.Queue.Name).To(Equal(queue))
-		Expect(left).To(Equal(rest))
+		Expect(actualRest).To(Equal(rest))
 	},
-		Entry("one prefix", "a.example", "/one/5c0e", "one", "5c0e"),
-		Entry("a longer one", "a.example", "/one/two/5c0e", "two", "5c0e"),
+		Entry("one matching prefix", "a.example", "/one/5c0e", "one", "5c0e"),
+		Entry("two matching prefixes", "a.example", "/one/two/5c0e", "two", "5c0e"),
 		Entry("another host", "b.example", "/one/two/5c0e", "other", "two/5c0e"),
-		Entry("a port, and capitals", "A.Example:8080", "/one/", "one", ""),
-		Entry("no such host", "c.example", "/one/", "", ""),
-		Entry("no such prefix", "a.example", "/onetwo", "", ""),
+		Entry("a host with a port and capitals", "A.Example:8080", "/one/", "one", ""),
+		Entry("no rule for the host", "c.example", "/one/", "", ""),
+		Entry("no rule with a prefix of the path", "a.example", "/onetwo", "", ""),
 	)
 })
--- a/jobs/subset/bench_test.go
+++ b/jobs/subset/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/lichenfall/lichenfall/jobs/subset"
 )
 
-// BenchmarkChoose is one choice of a coordinator among 184 with 800 workers.
+// BenchmarkChoose measures one choice by one of 184 coordinators among 800 workers.
 func BenchmarkChoose(b *testing.B) {
 	var coordinators []string
 	for i := range 183 {
--- a/jobs/subset/subset_test.go
+++ b/jobs/subset/subset_test.go
@@ -31,57 +31,57 @@
 	return out
 }
 
-var _ = Describe("a subset of workers", func() {
+var _ = Describe("the chosen workers", func() {
 	cfg := subset.Settings{Size: 48, Coverage: 4}
 
-	It("is all of them where they are few", func() {
+	It("are all workers of the service if there are few", func() {
 		workers := workersAt(addresses("w", 11), "s")
 		chosen := subset.Choose(cfg, "c0:1", addresses("c", 3), workers, nil)
 		Expect(chosen).To(HaveLen(11))
 		Expect(cfg.Sharers("s", 11, 3, nil)).To(Equal(3.0))
 	})
 
-	It("does not grow with the workers, and leaves none out", func() {
+	It("are limited by Size, and together cover every worker", func() {
 		coordinators := addresses("c", 205)
 		workers := workersAt(addresses("w", 960), "s")
-		covered, homes := make(map[string]int), make(map[string]int)
+		covered, preferring := make(map[string]int), make(map[string]int)
 		for _, self := range coordinators {
 			chosen := subset.Choose(cfg, self, coordinators, workers, nil)
 			Expect(chosen).To(HaveLen(48))
-			for a, home := range chosen {
+			for a, preferred := range chosen {
 				covered[a]++
-				if home {
-					homes[a]++
+				if preferred {
+					preferring[a]++
 				}
 			}
 		}
 		Expect(covered).To(HaveLen(960))
-		Expect(homes).To(HaveLen(960), "each has a home")
-		Expect(homes).To(HaveEach(1), "and just one")
+		Expect(preferring).To(HaveLen(960), "each worker is preferred by a coordinator")
+		Expect(preferring).To(HaveEach(1), "and by just one")
 		for _, n := range covered {
 			Expect(n).To(BeNumerically("~", 205*48.0/960, 2))
 		}
 		Expect(cfg.Sharers("s", 960, 205, nil)).To(BeNumerically("~", 10.25, 0.01))
 	})
 
-	It("grows where coordinators are too few to cover all workers", func() {
+	It("exceed Size if the coordinators are too few for the Coverage", func() {
 		coordinators := addresses("c", 10)
 		workers := workersAt(addresses("w", 960), "s")
 		Expect(subset.Choose(cfg, "c3:1", coordinators, workers, nil)).To(HaveLen(384))
 	})
 
-	It("takes others beside those that are lost", func() {
+	It("include further workers beside unreachable ones", func() {
 		coordinators := addresses("c", 20)
 		workers := workersAt(addresses("w", 200), "s")
 		before := subset.Choose(cfg, "c3:1", coordinators, workers, nil)
 		for i := range workers {
-			_, taken := before[workers[i].Address]
-			workers[i].Unreachable = taken && i%2 == 0
+			_, isChosen := before[workers[i].Address]
+			workers[i].Unreachable = isChosen && i%2 == 0
 		}
 		after := subset.Choose(cfg, "c3:1", coordinators, workers, nil)
 		reachable := 0
 		for _, w := range workers {
-			if _, taken := after[w.Address]; taken && !w.Unreachable {
+			if _, isChosen := after[w.Address]; isChosen && !w.Unreachable {
 				reachable++
 			}
 		}
@@ -91,13 +91,13 @@
 		}
 	})
 
-	It("is drawn for each service apart", func() {
+	It("are counted for each service separately", func() {
 		workers := append(workersAt(addresses("w", 100), "s"), workersAt(addresses("v", 5), "t")...)
 		chosen := subset.Choose(cfg, "c0:1", addresses("c", 30), workers, nil)
 		Expect(chosen).To(HaveLen(53))
 	})
 
-	It("follows what the coordinator wants, between the least and the most", func() {
+	It("follow the demand of the coordinator, between the Coverage or MinSize and Size", func() {
 		coordinators := addresses("c", 55)
 		workers := workersAt(addresses("w", 240), "s")
 		for wanted, size := range map[int]int{0: 18, 15: 18, 30: 30, 500: 48} {
@@ -109,7 +109,7 @@
 		Expect(subset.Choose(cfg, "c3:1", many, workers, subset.Demand{"s": 0})).To(HaveLen(subset.MinSize))
 	})
 
-	It("of one who wants few are among those of one who wants many", func() {
+	It("with a low demand are among those with a high demand", func() {
 		coordinators := addresses("c", 55)
 		workers := workersAt(addresses("w", 240), "s")
 		few := subset.Choose(cfg, "c3:1", coordinators, workers, subset.Demand{"s": 0})
