--- a/jobs/coordinator/announce.go
+++ b/jobs/coordinator/announce.go
@@ -35,7 +35,7 @@
 	c.countedAt = now
 	mine := c.core.Waiting()
 	c.sumCounts(mine)
-	m := &wire.QueueCounts{Partitions: c.core.Partitions(), BestEffort: c.core.BestEffortOlderThan(now, c.copies.Settings().AnnounceAfter())}
+	m := &wire.QueueCounts{Partitions: c.core.Partitions(), BestEffort: c.core.BestEffortOlderThan(now, c.dedup.Settings().AnnounceAfter())}
 	if now.Sub(c.announcedAt) < maxAnnounceInterval && !routesDiffer(m, c.announced) {
 		return
 	}
@@ -44,7 +44,7 @@
 	for queue, jobs := range mine {
 		m.Counts = append(m.Counts, wire.QueueCount{Queue: queue, Jobs: jobs})
 	}
-	c.tellCoordinators(m)
+	c.broadcast(m)
 }
 
 // routesDiffer returns whether a call could go to the wrong place by what the
@@ -64,7 +64,7 @@
 // sumCounts adds up the waiting jobs of all coordinators, by queue.
 func (c *Coordinator) sumCounts(mine map[string]uint32) {
 	all := maps.Clone(mine)
-	for _, counts := range c.counts {
+	for _, counts := range c.peerCounts {
 		for queue, jobs := range counts {
 			all[queue] += jobs
 		}
@@ -79,22 +79,22 @@
 	for _, q := range m.Counts {
 		counts[q.Queue] = q.Jobs
 	}
-	c.counts[from.Address] = counts
-	c.tellHeldTwice(from.Address, m.BestEffort)
-	c.copies.Update(now, from, m.BestEffort)
-	c.forgetRoutes(from.Address)
+	c.peerCounts[from.Address] = counts
+	c.logHeldTwice(from.Address, m.BestEffort)
+	c.dedup.Update(now, from, m.BestEffort)
+	c.dropRoutes(from.Address)
 	for _, p := range m.Partitions {
-		if r, ok := c.remote[p.Partition]; !ok || p.Epoch >= r.epoch {
-			c.remote[p.Partition] = route{from.Address, p.Epoch}
+		if r, ok := c.routes[p.Partition]; !ok || p.Epoch >= r.epoch {
+			c.routes[p.Partition] = route{from.Address, p.Epoch}
 		}
 	}
 }
 
-// tellHeldTwice writes a line for each best-effort job that the other has just said to have,
+// logHeldTwice writes a line for each best-effort job that the other has just said to have,
 // and we have too: its tasks may run twice.
-func (c *Coordinator) tellHeldTwice(from string, ids []durable.JobID) {
+func (c *Coordinator) logHeldTwice(from string, ids []durable.JobID) {
 	for _, id := range ids {
-		if c.copies.HeldBy(from, id) || !c.core.HasBestEffort(id) {
+		if c.dedup.HeldBy(from, id) || !c.core.HasBestEffort(id) {
 			continue
 		}
 		c.metrics.Decision(jobHeldTwice)
@@ -105,7 +105,7 @@
 // giveUpUnannounced gives up the best-effort jobs of which the others are told too late: their callers
 // may have sent them again, to one that has not heard of them.
 func (c *Coordinator) giveUpUnannounced(now time.Time) {
-	old := c.core.BestEffortOlderThan(now, c.copies.Settings().AnnounceDeadline())
+	old := c.core.BestEffortOlderThan(now, c.dedup.Settings().AnnounceDeadline())
 	for _, id := range dedup.Unannounced(old, c.announced.BestEffort) {
 		c.core.GiveUpUntold(now, id)
 	}
@@ -114,17 +114,17 @@
 // peerLost forgets what a coordinator said that cannot be reached, but for the jobs that it may
 // still run.
 func (c *Coordinator) peerLost(now time.Time, from string) {
-	delete(c.counts, from)
-	c.copies.LinkLost(now, from)
-	c.forgetRoutes(from)
+	delete(c.peerCounts, from)
+	c.dedup.LinkLost(now, from)
+	c.dropRoutes(from)
 	c.failForwarded(from)
 }
 
-// forgetRoutes forgets which partitions the coordinator had.
-func (c *Coordinator) forgetRoutes(from string) {
-	for p, r := range c.remote {
+// dropRoutes forgets which partitions the coordinator had.
+func (c *Coordinator) dropRoutes(from string) {
+	for p, r := range c.routes {
 		if r.address == from {
-			delete(c.remote, p)
+			delete(c.routes, p)
 		}
 	}
 }
--- a/jobs/coordinator/coordinator.go
+++ b/jobs/coordinator/coordinator.go
@@ -1,12 +1,14 @@
-// Package coordinator is the daemon that takes jobs: it answers calls about them,
-// owns partitions of the store, and has workers run their tasks. The decisions
-// are those of packages scheduler, ownership and subset; this package moves
-// messages.
+// Package coordinator is the daemon that accepts jobs: it answers calls about them, owns
+// partitions of the store, and has workers run the tasks. Packages scheduler, ownership, subset
+// and dedup make the decisions; this package does the I/O for them.
 //
-// It owns the connections to workers and other coordinators, the calls that wait
-// for an answer, and the appends that are on their way. It relies on the store for
-// kept jobs, for the configuration and to find the others; best-effort jobs go on
-// without it.
+// It owns the connections to workers and other coordinators, the calls that wait for an answer,
+// and the appends in progress. It relies on the store for durable jobs, for the operators'
+// configuration and for the addresses of the other processes; best-effort jobs continue while
+// the store is unavailable.
+//
+// One control goroutine owns the state and applies events in turn. Other goroutines do what
+// blocks, and post events to it.
 package coordinator
 
 import (
@@ -44,28 +46,28 @@
 	member string // name in the group of owners, unique to this process
 
 	// Owned by the control goroutine.
-	core        *scheduler.Core
-	owned       *ownership.Table
-	loading     map[uint32]context.CancelFunc // partitions being read
-	writers     map[uint32]*writer            // of partitions that are ours
-	members     map[string]store.Member       // all that are registered, by address
-	links       map[string]*link              // to workers and other coordinators, by address
-	inbound     inboundConns                  // from other coordinators
-	remote      map[uint32]route              // partitions of other coordinators
-	copies      *dedup.Table                  // best-effort jobs that others have
-	early       []*call                       // best-effort jobs that wait until others have told what they have
-	lateness    dedup.StallTracker            // for how long calls may have waited for us
-	calls       map[scheduler.Call]*call      // in our core
-	forwarded   map[uint64]*call              // passed on, by their number
-	nextCall    uint64
-	counts      map[string]map[string]uint32 // waiting jobs by coordinator and queue
-	announced   *wire.QueueCounts            // what the others were sent last
-	announcedAt time.Time                    // zero when they are to be sent one at once
-	countedAt   time.Time                    // when our own jobs were last counted
-	chosenAt    time.Time                    // when the workers to connect to were last chosen
-	drainedAt   time.Time                    // when a planned stop began
-	leaving     bool                         // all partitions are given up
-	joinsFailed int                          // joins without success since the last with it
+	core           *scheduler.Core
+	owned          *ownership.Table
+	loading        map[uint32]context.CancelFunc // partitions being read
+	writers        map[uint32]*writer            // of partitions that are ours
+	members        map[string]store.Member       // all that are registered, by address
+	links          map[string]*link              // to workers and other coordinators, by address
+	inbound        inboundConns                  // from other coordinators
+	routes         map[uint32]route              // partitions of other coordinators
+	dedup          *dedup.Table                  // best-effort jobs that others have
+	deferred       []*call                       // best-effort jobs that wait until others have told what they have
+	stalls         dedup.StallTracker            // for how long calls may have waited for us
+	calls          map[scheduler.Call]*call      // in our core
+	forwarded      map[uint64]*call              // passed on, by their number
+	lastCall       uint64
+	peerCounts     map[string]map[string]uint32 // waiting jobs by coordinator and queue
+	announced      *wire.QueueCounts            // what the others were sent last
+	announcedAt    time.Time                    // zero when they are to be sent one at once
+	countedAt      time.Time                    // when our own jobs were last counted
+	chosenAt       time.Time                    // when the workers to connect to were last chosen
+	drainStartedAt time.Time                    // when a planned stop began
+	leaving        bool                         // all partitions are given up
+	failedJoins    int                          // joins without success since the last with it
 
 	// Read by any goroutine.
 	configuration atomic.Pointer[routing.Configuration]
@@ -75,8 +77,8 @@
 
 	peers    *peer.Listener
 	peerOpts peer.Options
-	halt     context.Context
-	end      context.CancelFunc
+	ctx      context.Context
+	cancel   context.CancelFunc
 	joinNow  chan struct{} // a join is wanted at once
 	// membersRead is closed when the registered processes have been read once.
 	membersRead chan struct{}
@@ -91,18 +93,18 @@
 	// readLimit is how long a process may say nothing that has to. Workers answer heartbeats,
 	// and coordinators announce something or ask for a word, once a second and more often.
 	readLimit = 5 * time.Second
-	// backlog is how many events may wait for the control goroutine; whoever posts more has to
+	// eventBacklog is how many events may wait for the control goroutine; whoever posts more has to
 	// wait.
-	backlog = 4096
-	// controlLate names the line of a control goroutine that was late.
-	controlLate = "control_late"
-	// tickEvery is how often the core looks at the time: well below its shortest limit, of 100
+	eventBacklog = 4096
+	// controlStalled names the line of a control goroutine that was late.
+	controlStalled = "control_late"
+	// tickInterval is how often the core looks at the time: well below its shortest limit, of 100
 	// ms.
-	tickEvery = 20 * time.Millisecond
-	// operatorsPause is the time between two readings of the operators' records while the
+	tickInterval = 20 * time.Millisecond
+	// operatorsRetryPause is the time between two readings of the operators' records while the
 	// store does not answer. A thirtieth of the time in which an evacuation has to be heeded,
 	// at ten calls a second from each coordinator.
-	operatorsPause = 100 * time.Millisecond
+	operatorsRetryPause = 100 * time.Millisecond
 )
 
 // Start starts a coordinator on the store.
@@ -125,7 +127,7 @@
 	}
 	c := newCoordinator(cfg, s, m, log, steady)
 	c.peers, c.peerOpts = peers, opts
-	c.halt, c.end = context.WithCancel(context.Background())
+	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.run()
 	log.Info("coordinator_started", zap.String("member", c.member), zap.String("peers", peers.Advertised()))
 	return c, nil
@@ -138,7 +140,7 @@
 		log:         log,
 		store:       s,
 		metrics:     m,
-		loop:        loop.New[event](backlog),
+		loop:        loop.New[event](eventBacklog),
 		member:      cfg.Box.Name + "/" + uuid.NewString(),
 		core:        scheduler.New(cfg.Scheduler.Core(cfg.Box.DataCentre), uint64(time.Now().UnixNano())),
 		owned:       ownership.New(cfg.Ownership.TTL.D()),
@@ -147,11 +149,11 @@
 		members:     make(map[string]store.Member),
 		links:       make(map[string]*link),
 		inbound:     newInboundConns(),
-		remote:      make(map[uint32]route),
-		copies:      dedup.New(cfg.Copies.Core(&cfg.Scheduler)),
+		routes:      make(map[uint32]route),
+		dedup:       dedup.New(cfg.Copies.Core(&cfg.Scheduler)),
 		calls:       make(map[scheduler.Call]*call),
 		forwarded:   make(map[uint64]*call),
-		counts:      make(map[string]map[string]uint32),
+		peerCounts:  make(map[string]map[string]uint32),
 		announced:   &wire.QueueCounts{},
 		joinNow:     make(chan struct{}, 1),
 		membersRead: make(chan struct{}),
@@ -161,10 +163,10 @@
 // run starts the goroutines.
 func (c *Coordinator) run() {
 	c.peers.Serve(c.hello, inbound{c})
-	go c.loop.Run(c.halt.Done(), tickEvery, loop.Steps[event]{Clock: c.clock, Resumed: c.resumed, Late: c.stalled, Handle: c.handle, Tick: c.tick, Perform: c.perform})
-	go c.keepJoining()
+	go c.loop.Run(c.ctx.Done(), tickInterval, loop.Steps[event]{Clock: c.clock, Resumed: c.resumed, Late: c.stalled, Handle: c.handle, Tick: c.tick, Perform: c.perform})
+	go c.joinLoop()
 	go c.followMembers()
-	go c.store.Operators(c.halt, operatorsPause, c.operatorsHeard)
+	go c.store.Operators(c.ctx, operatorsRetryPause, c.handleOperatorUpdate)
 }
 
 // resumed takes the end of a suspension of the box. All leases count that time by our clock,
@@ -177,10 +179,10 @@
 // again meanwhile, and those of what comes now may have sent it long ago; others forget our word
 // once our runs would be over.
 func (c *Coordinator) stalled(now time.Time, by time.Duration) {
-	c.metrics.Decision(controlLate)
-	c.log.Warn(controlLate, zap.Int64("late_ms", by.Milliseconds()))
-	c.lateness.Add(now, by)
-	if by >= c.copies.Settings().RunsEndWithin {
+	c.metrics.Decision(controlStalled)
+	c.log.Warn(controlStalled, zap.Int64("late_ms", by.Milliseconds()))
+	c.stalls.Add(now, by)
+	if by >= c.dedup.Settings().RunsEndWithin {
 		c.announced = &wire.QueueCounts{}
 	}
 	c.giveUpUnannounced(now)
@@ -190,12 +192,12 @@
 	return peer.Introduction(wire.RoleCoordinator, c.cfg.Box.Name, c.cfg.Box.DataCentre, c.member, c.peers.Advertised())
 }
 
-// operatorsHeard takes a reading of what operators have put in force.
-func (c *Coordinator) operatorsHeard(news routing.OperatorUpdate) {
+// handleOperatorUpdate takes a reading of what operators have put in force.
+func (c *Coordinator) handleOperatorUpdate(news routing.OperatorUpdate) {
 	if news.Configuration != nil {
 		c.configure(news.Configuration)
 	}
-	c.loop.Post(evacuationsHeard{news.Evacuations})
+	c.loop.Post(evacuationsReceived{news.Evacuations})
 }
 
 // configure puts a configuration in force unless a newer one is.
@@ -236,12 +238,12 @@
 		return
 	}
 	c.log.Info("stop_begun")
-	c.loop.Post(drainBegun{})
+	c.loop.Post(drainStarted{})
 }
 
 // Close ends everything at once.
 func (c *Coordinator) Close() {
-	c.end()
+	c.cancel()
 	<-c.loop.Done()
 	c.peers.Close()
 	c.log.Info("stopped")
--- a/jobs/coordinator/events.go
+++ b/jobs/coordinator/events.go
@@ -31,9 +31,9 @@
 		c.joinFailed(now, e)
 		return
 	}
-	if c.joinsFailed > 0 {
-		c.log.Info("join_succeeds", zap.Int("failed_before", c.joinsFailed))
-		c.joinsFailed = 0
+	if c.failedJoins > 0 {
+		c.log.Info("join_succeeds", zap.Int("failed_before", c.failedJoins))
+		c.failedJoins = 0
 	}
 	if c.leaving {
 		return
@@ -52,13 +52,13 @@
 	c.checkLease(now)
 	c.core.Confirmed(now, e.sent)
 	if len(change.Released)+len(change.Acquired) > 0 {
-		c.joinSoon()
+		c.requestJoin()
 	}
 }
 
 // joinFailed logs the first failure of a row.
 func (c *Coordinator) joinFailed(now time.Time, e joined) {
-	if c.joinsFailed++; c.joinsFailed == 1 {
+	if c.failedJoins++; c.failedJoins == 1 {
 		c.log.Warn("join_failed", zap.Error(e.err), zap.Duration("took", now.Sub(e.sent)))
 	}
 }
@@ -90,7 +90,7 @@
 func (e partitionLost) apply(c *Coordinator, now time.Time) {
 	c.owned.Lost(e.partition)
 	c.release(now, e.partition, "fenced")
-	c.joinSoon()
+	c.requestJoin()
 }
 
 // committed says how a commit went.
@@ -110,47 +110,47 @@
 	}
 }
 
-// membersHeard holds processes that are registered.
-type membersHeard struct{ members []store.Member }
+// membersReceived holds processes that are registered.
+type membersReceived struct{ members []store.Member }
 
-func (e membersHeard) apply(c *Coordinator, now time.Time) { c.updateMembers(now, e.members) }
+func (e membersReceived) apply(c *Coordinator, now time.Time) { c.updateMembers(now, e.members) }
 
-// evacuationsHeard holds the data centres in which nothing may be started, as the store has
+// evacuationsReceived holds the data centres in which nothing may be started, as the store has
 // just told.
-type evacuationsHeard struct{ evacuations routing.Evacuations }
+type evacuationsReceived struct{ evacuations routing.Evacuations }
 
-func (e evacuationsHeard) apply(c *Coordinator, now time.Time) {
+func (e evacuationsReceived) apply(c *Coordinator, now time.Time) {
 	if c.core.Evacuate(now, e.evacuations) {
 		c.chooseWorkers(now)
 	}
 }
 
-// called is a caller's request, ours or passed on by another coordinator.
-type called struct{ call *call }
+// callReceived is a caller's request, ours or passed on by another coordinator.
+type callReceived struct{ call *call }
 
-func (e called) apply(c *Coordinator, now time.Time) { c.handleCall(now, e.call) }
+func (e callReceived) apply(c *Coordinator, now time.Time) { c.handleCall(now, e.call) }
 
 // callerLeft says that one of our own callers no longer waits.
 type callerLeft struct{ call *call }
 
-func (e callerLeft) apply(c *Coordinator, now time.Time) { c.forget(now, e.call) }
+func (e callerLeft) apply(c *Coordinator, now time.Time) { c.dropCall(now, e.call) }
 
-// drainBegun begins a planned stop.
-type drainBegun struct{}
+// drainStarted begins a planned stop.
+type drainStarted struct{}
 
-func (drainBegun) apply(c *Coordinator, now time.Time) {
-	c.drainedAt = now
-	c.joinSoon()
+func (drainStarted) apply(c *Coordinator, now time.Time) {
+	c.drainStartedAt = now
+	c.requestJoin()
 }
 
-// leaveWanted asks whether the group of owners may be left now.
-type leaveWanted struct{ answer chan<- bool }
+// leaveRequested asks whether the group of owners may be left now.
+type leaveRequested struct{ answer chan<- bool }
 
-func (e leaveWanted) apply(c *Coordinator, now time.Time) { e.answer <- c.mayLeave(now) }
+func (e leaveRequested) apply(c *Coordinator, now time.Time) { e.answer <- c.tryRelease(now) }
 
 // groupLeft says that our partitions are free for others, who are told so.
 type groupLeft struct{}
 
 func (groupLeft) apply(c *Coordinator, _ time.Time) {
-	c.tellCoordinators(&wire.HandOver{})
+	c.broadcast(&wire.HandOver{})
 }
--- a/jobs/coordinator/forward.go
+++ b/jobs/coordinator/forward.go
@@ -12,12 +12,12 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// copyPassedOn names the line of a copy of a best-effort job that went to who has the first.
-const copyPassedOn = "copy_passed_on"
+// duplicateForwarded names the line of a copy of a best-effort job that went to who has the first.
+const duplicateForwarded = "copy_passed_on"
 
-// copyUnsure names the line of a best-effort job that is not taken, since it may be a copy of
+// duplicateRefused names the line of a best-effort job that is not taken, since it may be a copy of
 // one that another coordinator has.
-const copyUnsure = "copy_unsure"
+const duplicateRefused = "copy_unsure"
 
 // forward returns whether the call is on its way to the coordinator at the address.
 func (c *Coordinator) forward(now time.Time, cl *call, address string) bool {
@@ -29,12 +29,12 @@
 	if l.conn.Send(m) != nil {
 		return false
 	}
-	cl.sentTo = address
+	cl.forwardedTo = address
 	cl.since = now
 	c.forwarded[cl.number] = cl
 	if cl.bestEffort() {
-		c.metrics.Decision(copyPassedOn)
-		c.log.Info(copyPassedOn, zap.String("job", string(cl.id)), zap.String("peer", address))
+		c.metrics.Decision(duplicateForwarded)
+		c.log.Info(duplicateForwarded, zap.String("job", string(cl.id)), zap.String("peer", address))
 	}
 	return true
 }
@@ -70,7 +70,7 @@
 // failForwarded answers the callers whose calls went to a lost coordinator.
 func (c *Coordinator) failForwarded(address string) {
 	for _, cl := range c.forwarded {
-		if cl.sentTo == address {
+		if cl.forwardedTo == address {
 			c.failForward(cl)
 		}
 	}
@@ -79,6 +79,6 @@
 // failForward answers a call whose fate is not known: the owner may have it.
 func (c *Coordinator) failForward(cl *call) {
 	delete(c.forwarded, cl.number)
-	c.log.Info("forward_unanswered", zap.String("job", string(cl.id)), zap.String("peer", cl.sentTo))
+	c.log.Info("forward_unanswered", zap.String("job", string(cl.id)), zap.String("peer", cl.forwardedTo))
 	c.reply(cl, c.refusal(cl, failure.CommitUnknown))
 }
--- a/jobs/coordinator/group.go
+++ b/jobs/coordinator/group.go
@@ -9,38 +9,38 @@
 	"github.com/lichenfall/lichenfall/lib/loop"
 )
 
-// keepJoining stays in the group of owners, until it is left at a planned stop.
-func (c *Coordinator) keepJoining() {
+// joinLoop stays in the group of owners, until it is left at a planned stop.
+func (c *Coordinator) joinLoop() {
 	generation := uint64(0)
-	for c.halt.Err() == nil {
+	for c.ctx.Err() == nil {
 		if c.stopping.Load() && c.leaveGroup() {
 			return
 		}
 		sent := c.clock.Now()
-		ctx, cancel := context.WithTimeout(c.halt, c.cfg.Ownership.CallLimit.D())
+		ctx, cancel := context.WithTimeout(c.ctx, c.cfg.Ownership.CallLimit.D())
 		a, err := c.store.Join(ctx, c.member, generation, c.cfg.Ownership.TTL.D())
 		cancel()
 		if err == nil {
 			generation = a.Generation
 		}
 		c.loop.Post(joined{sent, a, err})
-		c.pauseJoin()
+		c.waitForNextJoin()
 	}
 }
 
-// pauseJoin waits until the next join is due or wanted at once.
-func (c *Coordinator) pauseJoin() {
+// waitForNextJoin waits until the next join is due or wanted at once.
+func (c *Coordinator) waitForNextJoin() {
 	t := time.NewTimer(c.cfg.Ownership.Join.D())
 	defer t.Stop()
 	select {
-	case <-c.halt.Done():
+	case <-c.ctx.Done():
 	case <-t.C:
 	case <-c.joinNow:
 	}
 }
 
-// joinSoon ends the present pause between joins.
-func (c *Coordinator) joinSoon() {
+// requestJoin ends the present pause between joins.
+func (c *Coordinator) requestJoin() {
 	select {
 	case c.joinNow <- struct{}{}:
 	default:
@@ -71,14 +71,14 @@
 // leaveGroup gives all partitions up once the control goroutine has let go of
 // them. It returns false while that still has something to store.
 func (c *Coordinator) leaveGroup() bool {
-	may, running := loop.Ask(c.loop, func(answer chan<- bool) event { return leaveWanted{answer} })
+	may, running := loop.Ask(c.loop, func(answer chan<- bool) event { return leaveRequested{answer} })
 	if !running {
 		return true
 	}
 	if !may {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(c.halt, c.cfg.Ownership.CallLimit.D())
+	ctx, cancel := context.WithTimeout(c.ctx, c.cfg.Ownership.CallLimit.D())
 	defer cancel()
 	if err := c.store.Leave(ctx, c.member); err != nil {
 		c.log.Warn("leave_failed", zap.Error(err))
@@ -88,10 +88,10 @@
 	return true
 }
 
-// mayLeave lets all partitions go when nothing waits for the store, or the time
+// tryRelease lets all partitions go when nothing waits for the store, or the time
 // for that is over.
-func (c *Coordinator) mayLeave(now time.Time) bool {
-	if !c.core.Idle() && now.Sub(c.drainedAt) < c.cfg.Ownership.Flush.D() {
+func (c *Coordinator) tryRelease(now time.Time) bool {
+	if !c.core.Idle() && now.Sub(c.drainStartedAt) < c.cfg.Ownership.Flush.D() {
 		return false
 	}
 	c.leaving = true
--- a/jobs/coordinator/inbound.go
+++ b/jobs/coordinator/inbound.go
@@ -12,31 +12,31 @@
 // beside its next connection: an old announcement would hide which best-effort jobs it has,
 // and a call that its caller has long sent again would run beside its copy.
 type inboundConns struct {
-	ups    uint64
-	number map[*peer.Conn]uint64 // rises with each connection
-	heard  map[string]uint64     // the latest that each address was heard over
+	count   uint64
+	numbers map[*peer.Conn]uint64 // rises with each connection
+	newest  map[string]uint64     // the latest that each address was heard over
 }
 
 func newInboundConns() inboundConns {
-	return inboundConns{number: make(map[*peer.Conn]uint64), heard: make(map[string]uint64)}
+	return inboundConns{numbers: make(map[*peer.Conn]uint64), newest: make(map[string]uint64)}
 }
 
 func (i *inboundConns) up(conn *peer.Conn) {
-	i.ups++
-	i.number[conn] = i.ups
+	i.count++
+	i.numbers[conn] = i.count
 }
 
-func (i *inboundConns) down(conn *peer.Conn) { delete(i.number, conn) }
+func (i *inboundConns) down(conn *peer.Conn) { delete(i.numbers, conn) }
 
 // accept returns whether what comes from the address over the connection counts: none that
 // came up later has been heard. A coordinator says nothing over a connection before it has
 // our hello, so one that it gave up unheard retires nothing.
 func (i *inboundConns) accept(conn *peer.Conn, address string) bool {
-	n := i.number[conn]
-	if n < i.heard[address] {
+	n := i.numbers[conn]
+	if n < i.newest[address] {
 		return false
 	}
-	i.heard[address] = n
+	i.newest[address] = n
 	return true
 }
 
@@ -75,7 +75,7 @@
 
 // Message is called for each message of the peer.
 func (i inbound) Message(conn *peer.Conn, m wire.Message) {
-	i.c.loop.Post(peerSaid{address: conn.Peer().Address, conn: conn, message: m, inbound: true})
+	i.c.loop.Post(peerMessage{address: conn.Peer().Address, conn: conn, message: m, inbound: true})
 }
 
 // Down is called when the connection is lost.
--- a/jobs/coordinator/links.go
+++ b/jobs/coordinator/links.go
@@ -23,7 +23,7 @@
 
 // connect keeps a connection to the address until it is no longer wanted.
 func (c *Coordinator) connect(now time.Time, address string, role wire.Role) {
-	ctx, stop := context.WithCancel(c.halt)
+	ctx, stop := context.WithCancel(c.ctx)
 	c.links[address] = &link{role: role, stop: stop, changed: now}
 	go peer.Keep(ctx, address, c.linkOptions(role), c.hello, outbound{c, address})
 }
@@ -64,16 +64,16 @@
 	l.changed = now
 	if l.role == wire.RoleWorker {
 		c.core.WorkerUp(now, e.address, e.hello.DataCentre)
-		c.tellRecord(e.address, e.conn)
+		c.reportRecord(e.address, e.conn)
 		return
 	}
 	c.log.Info("coordinator_up", zap.String("peer", e.address))
 	c.announcedAt = time.Time{}
 }
 
-// tellRecord tells a worker what the store has of it. It may have just started, and would
+// reportRecord tells a worker what the store has of it. It may have just started, and would
 // have to read the records of all to find its own.
-func (c *Coordinator) tellRecord(address string, conn *peer.Conn) {
+func (c *Coordinator) reportRecord(address string, conn *peer.Conn) {
 	b := c.members[address].Backend
 	if b == nil {
 		return
@@ -106,15 +106,15 @@
 	c.peerLost(now, e.address)
 }
 
-// peerSaid is a message of another process, by the address that it is known by.
-type peerSaid struct {
+// peerMessage is a message of another process, by the address that it is known by.
+type peerMessage struct {
 	address string
 	conn    *peer.Conn
 	message wire.Message
 	inbound bool // over a connection that the peer keeps to us
 }
 
-func (e peerSaid) apply(c *Coordinator, now time.Time) {
+func (e peerMessage) apply(c *Coordinator, now time.Time) {
 	if l := c.links[e.address]; !e.inbound && (l == nil || l.conn != e.conn) {
 		return
 	}
@@ -137,7 +137,7 @@
 	case *wire.CrashNews:
 		c.core.HearCrashes(now, m)
 	case *wire.HandOver:
-		c.joinSoon()
+		c.requestJoin()
 	}
 }
 
@@ -152,7 +152,7 @@
 
 // Message is called for each message of the peer.
 func (o outbound) Message(conn *peer.Conn, m wire.Message) {
-	o.c.loop.Post(peerSaid{address: o.address, conn: conn, message: m})
+	o.c.loop.Post(peerMessage{address: o.address, conn: conn, message: m})
 }
 
 // Down is called when the connection is lost.
--- a/jobs/coordinator/members.go
+++ b/jobs/coordinator/members.go
@@ -16,7 +16,7 @@
 func (c *Coordinator) register(k *registration.Registrar) {
 	m := store.Member{Address: c.peers.Advertised(), Role: store.RoleCoordinator, DataCentre: c.cfg.Box.DataCentre}
 	never := func() bool { return false }
-	k.Register(c.halt, m, never)
+	k.Register(c.ctx, m, never)
 }
 
 // followMembers tells the control goroutine of the registered processes. The first
@@ -24,8 +24,8 @@
 func (c *Coordinator) followMembers() {
 	k := registration.NewRegistrar(c.store, c.log)
 	first := true
-	c.store.Members(c.halt, func(members []store.Member) {
-		c.loop.Post(membersHeard{members})
+	c.store.Members(c.ctx, func(members []store.Member) {
+		c.loop.Post(membersReceived{members})
 		if !first {
 			return
 		}
@@ -39,7 +39,7 @@
 // updateMembers connects to processes that are new.
 func (c *Coordinator) updateMembers(now time.Time, members []store.Member) {
 	c.logNewMembers(members)
-	c.copies.SetInitialPeers(now, c.otherCoordinators(members))
+	c.dedup.SetInitialPeers(now, c.otherCoordinators(members))
 	for _, m := range members {
 		if m.Address == c.peers.Advertised() {
 			continue
@@ -65,10 +65,10 @@
 	return out
 }
 
-// namedMembers is up to how many new processes of one reading are named in the log. At a start
+// maxNamedMembers is up to how many new processes of one reading are named in the log. At a start
 // there are as many as boxes, and a line for each at each coordinator would tell nothing that
 // the store does not have.
-const namedMembers = 32
+const maxNamedMembers = 32
 
 // logNewMembers writes who is new: by address, or where there are many how many.
 func (c *Coordinator) logNewMembers(members []store.Member) {
@@ -78,7 +78,7 @@
 			fresh = append(fresh, m)
 		}
 	}
-	if len(fresh) > namedMembers {
+	if len(fresh) > maxNamedMembers {
 		c.log.Info("members_known", zap.Int("members", len(fresh)))
 		return
 	}
@@ -88,12 +88,12 @@
 }
 
 const (
-	// chooseEvery is how often the workers to connect to are chosen again; they are as soon as
+	// chooseInterval is how often the workers to connect to are chosen again; they are as soon as
 	// the registered processes change, too.
-	chooseEvery = time.Second
-	// workerLostAfter is how long a worker without connection still counts among those chosen.
+	chooseInterval = time.Second
+	// workerUnreachableAfter is how long a worker without connection still counts among those chosen.
 	// Longer than a restart takes.
-	workerLostAfter = 2 * time.Second
+	workerUnreachableAfter = 2 * time.Second
 	// coordinatorGoneAfter is how long a coordinator without connection keeps its place in the
 	// ring. Longer than a replacement takes.
 	coordinatorGoneAfter = 10 * time.Second
@@ -105,8 +105,8 @@
 func (c *Coordinator) chooseWorkers(now time.Time) {
 	c.chosenAt = now
 	workers := c.knownWorkers(now)
-	wanted := c.wantedWorkers(now, workers)
-	chosen := subset.Choose(c.cfg.Subset.Core(), c.peers.Advertised(), c.liveCoordinators(now), workers, wanted)
+	wanted := c.workerDemand(now, workers)
+	chosen := subset.Choose(c.cfg.Subset.Core(), c.peers.Advertised(), c.ringCoordinators(now), workers, wanted)
 	asking := c.core.Asking()
 	for _, w := range workers {
 		preferred, isChosen := chosen[w.Address]
@@ -119,11 +119,11 @@
 			c.disconnect(now, w.Address, l)
 		}
 	}
-	c.shareWorkers(workers, wanted)
+	c.updateSharers(workers, wanted)
 }
 
-// wantedWorkers returns how many workers of each service our own demand asks for.
-func (c *Coordinator) wantedWorkers(now time.Time, workers []subset.Worker) subset.Demand {
+// workerDemand returns how many workers of each service our own demand asks for.
+func (c *Coordinator) workerDemand(now time.Time, workers []subset.Worker) subset.Demand {
 	wanted := make(subset.Demand)
 	for _, w := range workers {
 		if _, known := wanted[w.Service]; known {
@@ -138,10 +138,10 @@
 	return wanted
 }
 
-// chooseAgain returns whether the workers are to be chosen again: now and then, and as
+// choiceDue returns whether the workers are to be chosen again: now and then, and as
 // soon as tasks begin to fit at none of them.
-func (c *Coordinator) chooseAgain(now time.Time) bool {
-	return now.Sub(c.chosenAt) >= chooseEvery || c.core.Short(c.chosenAt)
+func (c *Coordinator) choiceDue(now time.Time) bool {
+	return now.Sub(c.chosenAt) >= chooseInterval || c.core.Short(c.chosenAt)
 }
 
 func preference(preferred, chosen bool) scheduler.Preference {
@@ -162,8 +162,8 @@
 	c.log.Info("worker_not_chosen", zap.String("worker", address))
 }
 
-// shareWorkers tells the core how many coordinators share its workers.
-func (c *Coordinator) shareWorkers(workers []subset.Worker, wanted subset.Demand) {
+// updateSharers tells the core how many coordinators share its workers.
+func (c *Coordinator) updateSharers(workers []subset.Worker, wanted subset.Demand) {
 	byService := make(map[string]int)
 	for _, w := range workers {
 		if !w.Evacuated {
@@ -172,7 +172,7 @@
 	}
 	settings := c.cfg.Subset.Core()
 	for service, n := range byService {
-		c.core.SetSharers(service, settings.Sharers(service, n, 1+c.reachable(), wanted))
+		c.core.SetSharers(service, settings.Sharers(service, n, 1+c.connectedCoordinators(), wanted))
 	}
 }
 
@@ -189,16 +189,16 @@
 		}
 		w.Evacuated = c.core.Evacuated(m.DataCentre)
 		if l := c.links[address]; l != nil && l.conn == nil {
-			w.Unreachable = now.Sub(l.changed) > workerLostAfter
+			w.Unreachable = now.Sub(l.changed) > workerUnreachableAfter
 		}
 		out = append(out, w)
 	}
 	return out
 }
 
-// liveCoordinators returns the addresses of the other coordinators that are
+// ringCoordinators returns the addresses of the other coordinators that are
 // connected, or were until a while ago.
-func (c *Coordinator) liveCoordinators(now time.Time) []string {
+func (c *Coordinator) ringCoordinators(now time.Time) []string {
 	var out []string
 	for address, l := range c.links {
 		if l.role == wire.RoleCoordinator && (l.conn != nil || now.Sub(l.changed) < coordinatorGoneAfter) {
@@ -208,8 +208,8 @@
 	return out
 }
 
-// reachable returns how many other coordinators are connected.
-func (c *Coordinator) reachable() int {
+// connectedCoordinators returns how many other coordinators are connected.
+func (c *Coordinator) connectedCoordinators() int {
 	n := 0
 	for _, l := range c.links {
 		if l.conn != nil && l.role == wire.RoleCoordinator {
--- a/jobs/coordinator/overview.go
+++ b/jobs/coordinator/overview.go
@@ -28,14 +28,14 @@
 	Workers     []scheduler.WorkerView     `json:"workers"`
 }
 
-// overviewWanted asks for the overview.
-type overviewWanted struct{ answer chan<- Overview }
+// overviewRequested asks for the overview.
+type overviewRequested struct{ answer chan<- Overview }
 
-func (e overviewWanted) apply(c *Coordinator, now time.Time) { e.answer <- c.overview(now) }
+func (e overviewRequested) apply(c *Coordinator, now time.Time) { e.answer <- c.overview(now) }
 
 // Overview returns what the coordinator says of itself to operators; ok is false after its end.
 func (c *Coordinator) Overview() (o Overview, ok bool) {
-	return loop.Ask(c.loop, func(answer chan<- Overview) event { return overviewWanted{answer} })
+	return loop.Ask(c.loop, func(answer chan<- Overview) event { return overviewRequested{answer} })
 }
 
 func (c *Coordinator) overview(now time.Time) Overview {
--- a/jobs/coordinator/perform.go
+++ b/jobs/coordinator/perform.go
@@ -14,11 +14,11 @@
 	c.giveUpUnannounced(now)
 	c.handleDeferred(now)
 	c.core.Tick(now)
-	c.serving.Store(c.core.Serving(now) && c.copies.Ready(now))
+	c.serving.Store(c.core.Serving(now) && c.dedup.Ready(now))
 	c.expireForwarded(now)
 	c.announce(now)
-	c.copies.Expire(now)
-	if c.chooseAgain(now) {
+	c.dedup.Expire(now)
+	if c.choiceDue(now) {
 		c.chooseWorkers(now)
 	}
 }
@@ -35,13 +35,13 @@
 		c.sendWorker(now, s)
 	}
 	for _, r := range e.Replies {
-		c.answer(r)
+		c.handleCoreReply(r)
 	}
 	for _, address := range e.Reconnect {
 		c.reconnect(address)
 	}
 	if len(e.Crashes) > 0 {
-		c.tellCoordinators(&wire.CrashNews{Crashes: e.Crashes})
+		c.broadcast(&wire.CrashNews{Crashes: e.Crashes})
 	}
 	for i := range e.Notes {
 		c.logNote(now, &e.Notes[i])
@@ -53,7 +53,7 @@
 		c.metrics.JobRefused(class)
 	}
 	if e.Fenced || e.Confirm {
-		c.joinSoon()
+		c.requestJoin()
 	}
 }
 
@@ -64,19 +64,19 @@
 	}
 }
 
-// tellCoordinators sends a message to all other coordinators that are connected.
-func (c *Coordinator) tellCoordinators(m wire.Message) {
+// broadcast sends a message to all other coordinators that are connected.
+func (c *Coordinator) broadcast(m wire.Message) {
 	for _, l := range c.links {
 		if l.role == wire.RoleCoordinator {
-			c.sendPeer(l, m)
+			c.sendCoordinator(l, m)
 		}
 	}
 }
 
-// sendPeer sends a message to another coordinator, if it is connected. One that
+// sendCoordinator sends a message to another coordinator, if it is connected. One that
 // cannot be sent is lost with its connection, of which linkDown tells; what it
 // said is announced again when the connection is back.
-func (c *Coordinator) sendPeer(l *link, m wire.Message) {
+func (c *Coordinator) sendCoordinator(l *link, m wire.Message) {
 	if l.conn == nil {
 		return
 	}
@@ -87,7 +87,7 @@
 
 func (c *Coordinator) logNote(now time.Time, n *scheduler.Note) {
 	c.metrics.Decision(string(n.What))
-	fields := fieldsOf(n)
+	fields := noteFields(n)
 	if n.Frequent {
 		c.log.Sampled(now, string(n.What), fields...)
 		return
@@ -95,8 +95,8 @@
 	c.log.Info(string(n.What), fields...)
 }
 
-// fieldsOf returns the fields of a note's line that apply.
-func fieldsOf(n *scheduler.Note) []zap.Field {
+// noteFields returns the fields of a note's line that apply.
+func noteFields(n *scheduler.Note) []zap.Field {
 	fields := make([]zap.Field, 0, 8)
 	if n.Job != "" {
 		fields = append(fields, zap.String("job", string(n.Job)))
--- a/jobs/coordinator/takeover.go
+++ b/jobs/coordinator/takeover.go
@@ -16,7 +16,7 @@
 	if stop := c.loading[partition]; stop != nil {
 		stop()
 	}
-	ctx, cancel := context.WithCancel(c.halt)
+	ctx, cancel := context.WithCancel(c.ctx)
 	c.loading[partition] = cancel
 	go c.read(ctx, partition, epoch)
 }
--- a/jobs/coordinator/writer.go
+++ b/jobs/coordinator/writer.go
@@ -19,7 +19,7 @@
 }
 
 func (c *Coordinator) newWriter(partition uint32, epoch uint64) *writer {
-	ctx, cancel := context.WithCancel(c.halt)
+	ctx, cancel := context.WithCancel(c.ctx)
 	w := &writer{work: make(chan scheduler.Commit, 1), stop: cancel}
 	go c.write(ctx, w, partition, epoch)
 	return w
@@ -55,7 +55,7 @@
 
 func (a *appender) append(ctx context.Context, c scheduler.Commit) scheduler.CommitResult {
 	for ctx.Err() == nil {
-		err := a.once(ctx, c)
+		err := a.appendOnce(ctx, c)
 		switch a.appending.Answered(err) {
 		case store.Done:
 			return scheduler.CommitOK
@@ -73,7 +73,7 @@
 	return scheduler.CommitLost
 }
 
-func (a *appender) once(ctx context.Context, c scheduler.Commit) error {
+func (a *appender) appendOnce(ctx context.Context, c scheduler.Commit) error {
 	call, cancel := context.WithTimeout(ctx, a.limit)
 	defer cancel()
 	return a.store.Append(call, c.Partition, c.Epoch, a.appending.Number(), c.Records)
