--- a/jobs/coordinator/calls.go
+++ b/jobs/coordinator/calls.go
@@ -91,7 +91,7 @@
 		c.passToCore(now, cl)
 		return
 	}
-	if cl.conn != nil || c.core.Ending(cl.id) {
+	if cl.conn != nil || c.core.HasOutstandingRuns(cl.id) {
 		c.refuseDuplicate(cl, "ended_here")
 		return
 	}
@@ -162,7 +162,7 @@
 // that is old enough.
 func (c *Coordinator) recordSentTime(now time.Time, cl *call) {
 	sent := c.stalls.EarliestSent(now, cl.since)
-	c.core.SentBefore(cl.id, sent)
+	c.core.SetEarliestSent(cl.id, sent)
 	if now.Sub(sent) >= c.dedup.Settings().AnnounceAfter() {
 		c.announcedAt = time.Time{}
 	}
--- a/jobs/coordinator/coordinator.go
+++ b/jobs/coordinator/coordinator.go
@@ -166,7 +166,7 @@
 	go c.loop.Run(c.ctx.Done(), tickInterval, loop.Steps[event]{Clock: c.clock, Resumed: c.resumed, Late: c.stalled, Handle: c.handle, Tick: c.tick, Perform: c.perform})
 	go c.joinLoop()
 	go c.followMembers()
-	go c.store.Operators(c.ctx, operatorsRetryPause, c.handleOperatorUpdate)
+	go c.store.WatchOperators(c.ctx, operatorsRetryPause, c.handleOperatorUpdate)
 }
 
 // resumed takes the end of a suspension of the box. All leases count that time by our clock,
--- a/jobs/coordinator/members.go
+++ b/jobs/coordinator/members.go
@@ -24,7 +24,7 @@
 func (c *Coordinator) followMembers() {
 	k := registration.NewRegistrar(c.store, c.log)
 	first := true
-	c.store.Members(c.ctx, func(members []store.Member) {
+	c.store.WatchMembers(c.ctx, func(members []store.Member) {
 		c.loop.Post(membersReceived{members})
 		if !first {
 			return
@@ -107,10 +107,10 @@
 	workers := c.knownWorkers(now)
 	wanted := c.workerDemand(now, workers)
 	chosen := subset.Choose(c.cfg.Subset.Core(), c.peers.Advertised(), c.ringCoordinators(now), workers, wanted)
-	asking := c.core.Asking()
+	asking := c.core.AwaitingReports()
 	for _, w := range workers {
 		preferred, isChosen := chosen[w.Address]
-		c.core.Prefer(w.Address, preference(preferred, isChosen))
+		c.core.SetPreference(w.Address, preference(preferred, isChosen))
 		l := c.links[w.Address]
 		if l == nil && (asking || isChosen) {
 			c.connect(now, w.Address, wire.RoleWorker)
@@ -141,7 +141,7 @@
 // choiceDue returns whether the workers are to be chosen again: now and then, and as
 // soon as tasks begin to fit at none of them.
 func (c *Coordinator) choiceDue(now time.Time) bool {
-	return now.Sub(c.chosenAt) >= chooseInterval || c.core.Short(c.chosenAt)
+	return now.Sub(c.chosenAt) >= chooseInterval || c.core.ShortageSince(c.chosenAt)
 }
 
 func preference(preferred, chosen bool) scheduler.Preference {
@@ -151,7 +151,7 @@
 	case preferred:
 		return scheduler.Preferred
 	}
-	return scheduler.Shared
+	return scheduler.Neutral
 }
 
 // disconnect gives up a connection to a worker.
--- a/jobs/runtable/owners.go
+++ b/jobs/runtable/owners.go
@@ -39,7 +39,7 @@
 	for name, o := range t.owners {
 		if o.member == heard.member && o.number < heard.number {
 			delete(t.owners, name)
-			t.room.Gone(name)
+			t.room.RemoveOwner(name)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 // run on.
 func (t *Table) OwnerDown(_ time.Time, name string) {
 	delete(t.owners, name)
-	t.room.Gone(name)
+	t.room.RemoveOwner(name)
 }
 
 // Heartbeat renews a coordinator's leases.
@@ -116,8 +116,8 @@
 	}
 }
 
-// Needs takes a coordinator's word of what runs here take.
-func (t *Table) Needs(_ time.Time, name string, m *wire.RunNeeds) {
+// SetNeeds takes a coordinator's word of what runs here take.
+func (t *Table) SetNeeds(_ time.Time, name string, m *wire.RunNeeds) {
 	if t.owners[name] == nil {
 		return
 	}
--- a/jobs/scheduler/besteffort.go
+++ b/jobs/scheduler/besteffort.go
@@ -20,24 +20,24 @@
 		c.note(Note{What: CopyJoined, Job: s.ID, Measure: JobAgeMS, Value: j.age(now)})
 		return
 	}
-	if c.full() {
+	if c.atJobLimit() {
 		c.note(Note{What: JobRefused, Job: s.ID, Reason: reasonTooManyJobs})
 		c.refuse(now, call, s, nil)
 		return
 	}
 	j := c.newJob(s, now)
-	if c.recallCrashes(now, j) {
+	if c.restoreCrashes(now, j) {
 		c.note(Note{What: Decision(jobPrefix + durable.Failed.String()), Job: s.ID, Reason: reasonCrashes})
 		c.reply(Reply{Call: call, ID: s.ID, State: durable.Failed})
 		return
 	}
-	c.offered(now, j)
+	c.noteOffered(now, j)
 	if f, why := c.admit(now, j); why != "" {
 		c.note(Note{What: JobRefused, Job: s.ID, Reason: why, Measure: WaitMS, Value: f.Wait().Milliseconds(), Limit: f.Allowed.Milliseconds(), Forecast: &f})
 		c.refuse(now, call, s, &f)
 		return
 	}
-	c.taken(now, j)
+	c.noteAdmitted(now, j)
 	j.accepted = true
 	j.startBy = now.Add(startWithin(j, now, budget))
 	j.calls = append(j.calls, call)
@@ -60,17 +60,17 @@
 	}
 }
 
-// SentBefore tells the core that the call which brought a best-effort job may have been sent
+// SetEarliestSent tells the core that the call which brought a best-effort job may have been sent
 // as early as then.
-func (c *Core) SentBefore(id durable.JobID, earliest time.Time) {
+func (c *Core) SetEarliestSent(id durable.JobID, earliest time.Time) {
 	if j := c.bestEffort[id]; j != nil && earliest.Before(j.sent) {
 		j.sent = earliest
 	}
 }
 
-// GiveUpUntold ends a best-effort job of which other coordinators were not told in time: a copy of
+// GiveUpUnannounced ends a best-effort job of which other coordinators were not told in time: a copy of
 // it may run elsewhere.
-func (c *Core) GiveUpUntold(now time.Time, id durable.JobID) {
+func (c *Core) GiveUpUnannounced(now time.Time, id durable.JobID) {
 	j := c.bestEffort[id]
 	if j == nil {
 		return
@@ -95,7 +95,7 @@
 			out = append(out, id)
 		}
 	}
-	for id, e := range c.endings {
+	for id, e := range c.outstanding {
 		if c.bestEffort[id] == nil && now.Sub(e.sent) >= age {
 			out = append(out, id)
 		}
@@ -110,7 +110,7 @@
 // answerBestEffort tells the callers of a job's end, and forgets it.
 func (c *Core) answerBestEffort(now time.Time, j *job) {
 	if now.After(j.due) {
-		c.given(now, j)
+		c.retractAdmitted(now, j)
 	}
 	for _, call := range j.calls {
 		c.reply(Reply{Call: call, ID: j.id, State: j.state})
