--- a/jobs/coordinator/announce.go
+++ b/jobs/coordinator/announce.go
@@ -12,22 +12,25 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// route says where calls about a partition go.
+// route is the owner of a partition, as it has announced itself.
 type route struct {
 	address string
-	epoch   uint64
+	epoch   uint64 // of its ownership
 }
 
 const (
-	// maxAnnounceInterval is how old the counts that others have of us may get:
-	// the users allow 2 s.
+	// maxAnnounceInterval is the longest time between two announcements. Users allow 2 s for the
+	// age of the counts of waiting jobs that other coordinators have of us.
 	maxAnnounceInterval = time.Second
-	// jobHeldTwice names the line of a best-effort job that another coordinator has too.
+	// jobHeldTwice is the log message and metric label of a best-effort job that another
+	// coordinator holds too.
 	jobHeldTwice = "job_held_twice"
 )
 
-// announce tells other coordinators what we own and how many jobs wait: soon
-// where they would send a call to the wrong place, else now and then.
+// announce sends our partitions, our best-effort jobs and our counts of waiting jobs to the other
+// coordinators. It does so at least every maxAnnounceInterval, and sooner if the partitions
+// changed or a best-effort job is due to be announced, since others might otherwise route a call
+// wrongly.
 func (c *Coordinator) announce(now time.Time) {
 	if now.Sub(c.countedAt) < c.cfg.Ownership.Announce.D() && !c.announcedAt.IsZero() {
 		return
@@ -47,21 +50,22 @@
 	c.broadcast(m)
 }
 
-// routesDiffer returns whether a call could go to the wrong place by what the
-// others were told before.
+// routesDiffer returns whether other coordinators, with before as our last announcement, could
+// route a call wrongly: the partitions differ from those in m, or m lists a best-effort job that
+// is new. Jobs that have ended don't count.
 func routesDiffer(m, before *wire.QueueCounts) bool {
 	if !slices.Equal(m.Partitions, before.Partitions) {
 		return true
 	}
 	for _, id := range m.BestEffort {
-		if _, known := slices.BinarySearch(before.BestEffort, id); !known {
+		if _, found := slices.BinarySearch(before.BestEffort, id); !found {
 			return true
 		}
 	}
 	return false
 }
 
-// sumCounts adds up the waiting jobs of all coordinators, by queue.
+// sumCounts adds up the waiting jobs of all coordinators by queue, for Waiting.
 func (c *Coordinator) sumCounts(mine map[string]uint32) {
 	all := maps.Clone(mine)
 	for _, counts := range c.peerCounts {
@@ -72,8 +76,8 @@
 	c.waiting.Store(&all)
 }
 
-// handleAnnouncement takes what another coordinator has. It replaces all that it
-// said before.
+// handleAnnouncement stores the announcement of another coordinator in place of its previous one,
+// and updates the routes.
 func (c *Coordinator) handleAnnouncement(now time.Time, from dedup.Peer, m *wire.QueueCounts) {
 	counts := make(map[string]uint32, len(m.Counts))
 	for _, q := range m.Counts {
@@ -90,8 +94,8 @@
 	}
 }
 
-// logHeldTwice writes a line for each best-effort job that the other has just said to have,
-// and we have too: its tasks may run twice.
+// logHeldTwice logs each best-effort job in ids that we hold too, so that its tasks may run
+// twice. ids are from an announcement; jobs that were in the previous one are left out.
 func (c *Coordinator) logHeldTwice(from string, ids []durable.JobID) {
 	for _, id := range ids {
 		if c.dedup.HeldBy(from, id) || !c.core.HasBestEffort(id) {
@@ -102,8 +106,8 @@
 	}
 }
 
-// giveUpUnannounced gives up the best-effort jobs of which the others are told too late: their callers
-// may have sent them again, to one that has not heard of them.
+// giveUpUnannounced gives up the best-effort jobs that we have not announced in time: their callers
+// may have sent them again, to a coordinator that does not know that we hold them.
 func (c *Coordinator) giveUpUnannounced(now time.Time) {
 	old := c.core.BestEffortOlderThan(now, c.dedup.Settings().AnnounceDeadline())
 	for _, id := range dedup.Unannounced(old, c.announced.BestEffort) {
@@ -111,8 +115,8 @@
 	}
 }
 
-// peerLost forgets what a coordinator said that cannot be reached, but for the jobs that it may
-// still run.
+// peerLost discards the announcement of an unreachable coordinator, except for the best-effort jobs
+// that it may still run.
 func (c *Coordinator) peerLost(now time.Time, from string) {
 	delete(c.peerCounts, from)
 	c.dedup.LinkLost(now, from)
@@ -120,7 +124,7 @@
 	c.failForwarded(from)
 }
 
-// dropRoutes forgets which partitions the coordinator had.
+// dropRoutes removes the routes to the coordinator.
 func (c *Coordinator) dropRoutes(from string) {
 	for p, r := range c.routes {
 		if r.address == from {
--- a/jobs/coordinator/api.go
+++ b/jobs/coordinator/api.go
@@ -15,38 +15,38 @@
 	"github.com/lichenfall/lichenfall/lib/web"
 )
 
-// JobRequest is the body of POST /v1/jobs, the product's own interface.
+// JobRequest is the JSON body of POST /v1/jobs.
 type JobRequest struct {
 	ID         string        `json:"id"`    // 16 hexadecimal digits
-	Queue      string        `json:"queue"` // by name
+	Queue      string        `json:"queue"` // its name
 	Spec       string        `json:"spec"`
 	BestEffort bool          `json:"best_effort"`
 	Steps      []StepRequest `json:"steps"`
 }
 
-// StepRequest is one step of a JobRequest.
+// StepRequest is one step of a JobRequest: Count tasks that each need the given resources.
 type StepRequest struct {
 	Count      uint32   `json:"count"`
 	MilliCPU   int64    `json:"milli_cpu"`
 	MemoryMiB  int64    `json:"memory_mib"`
 	GPU        int64    `json:"gpu"`
 	EstimateMS int64    `json:"estimate_ms"`
-	After      []uint32 `json:"after"`
+	After      []uint32 `json:"after"` // indexes of the steps that have to end before
 }
 
-// JobState is the answer about a job.
+// JobState is the JSON response with the state of a job.
 type JobState struct {
 	ID    string `json:"id"`
 	State string `json:"state"`
 }
 
-// QueueState is the answer about a queue.
+// QueueState is the JSON response of GET /v1/queues/NAME.
 type QueueState struct {
 	Queue   string `json:"queue"`
-	Waiting uint32 `json:"waiting"` // jobs none of whose tasks has begun
+	Waiting uint32 `json:"waiting"` // jobs none of whose tasks has started
 }
 
-// JobError is the answer to a call that failed.
+// JobError is the JSON response to a request that failed; Error is a failure.Kind.
 type JobError struct {
 	Error        string `json:"error"`
 	Field        string `json:"field,omitempty"`
@@ -55,14 +55,14 @@
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 }
 
-// Bounds of the product's own interface.
+// Limits of a request.
 const (
 	maxJobBody = 1 << 20          // bytes
-	callLimit  = 30 * time.Second // for one call
+	callLimit  = 30 * time.Second // timeout of a call
 )
 
-// Handler serves the product's own interface: POST /v1/jobs, GET and DELETE
-// /v1/jobs/ID, GET /v1/queues/NAME.
+// Handler returns the handler of the HTTP interface for jobs: POST /v1/jobs, GET and DELETE
+// /v1/jobs/ID, and GET /v1/queues/NAME.
 func (c *Coordinator) Handler() http.Handler {
 	e := web.NewEcho()
 	e.POST("/v1/jobs", c.serveSubmit)
@@ -110,7 +110,7 @@
 	return ec.JSON(e.Kind.Row().Status, JobError{e.Kind.String(), e.Field, e.Reason, e.Allowed, e.RetryAfter.Milliseconds()})
 }
 
-// readJob reads and checks the body of a submission.
+// readJob reads and validates the body of POST /v1/jobs.
 func (c *Coordinator) readJob(ec echo.Context) (*durable.Submission, *failure.Error) {
 	body, fail := web.ReadBody(ec.Response(), ec.Request(), maxJobBody)
 	if fail != nil {
--- a/jobs/coordinator/calls.go
+++ b/jobs/coordinator/calls.go
@@ -14,35 +14,38 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// call is a caller's request, ours or passed on by another coordinator.
+// call is a request about a job, from a caller of ours or forwarded by another coordinator.
 type call struct {
 	kind        wire.CallKind
 	id          durable.JobID
 	submission  *durable.Submission
-	budget      time.Duration // how long our own caller waits
-	since       time.Time
-	answer      chan scheduler.Reply // of our own callers
-	conn        *peer.Conn           // of calls that were passed on to us
-	seq         uint64               // of the caller, on conn
-	number      uint64               // ours
-	forwardedTo string               // the coordinator it was passed on to
-}
-
-// Submit keeps the job. The answer's Failure is None when it is kept.
+	budget      time.Duration        // how long the caller waits; 0 if that is not known
+	since       time.Time            // when it was received, or forwarded
+	answer      chan scheduler.Reply // for a caller of ours
+	conn        *peer.Conn           // from the coordinator that forwarded it to us, if any
+	seq         uint64               // of that coordinator, on conn
+	number      uint64               // unique in this process
+	forwardedTo string               // address of the coordinator that it was forwarded to
+}
+
+// Submit submits a job and returns the reply once the store has it, for a best-effort job once it
+// has ended. The reply's Failure is None on success. If ctx ends before, it is CommitUnknown: the
+// job may or may not have been accepted.
 func (c *Coordinator) Submit(ctx context.Context, s *durable.Submission) scheduler.Reply {
 	return c.do(ctx, &call{kind: wire.CallSubmit, id: s.ID, submission: s})
 }
 
-// State tells where the job stands.
+// State returns the state of a durable job, or a Failure.
 func (c *Coordinator) State(ctx context.Context, id durable.JobID) scheduler.Reply {
 	return c.do(ctx, &call{kind: wire.CallState, id: id})
 }
 
-// Cancel cancels the job.
+// Cancel cancels a durable job, and returns once the store has that.
 func (c *Coordinator) Cancel(ctx context.Context, id durable.JobID) scheduler.Reply {
 	return c.do(ctx, &call{kind: wire.CallCancel, id: id})
 }
 
+// do posts the call to the control goroutine and waits for the reply.
 func (c *Coordinator) do(ctx context.Context, cl *call) scheduler.Reply {
 	cl.answer = make(chan scheduler.Reply, 1)
 	cl.since = c.clock.Now()
@@ -62,12 +65,13 @@
 	return c.refusal(cl, failure.CommitUnknown)
 }
 
-// refusal returns the reply to a call that has failed here.
+// refusal returns a reply with the failure and the configured time after which to retry.
 func (c *Coordinator) refusal(cl *call, kind failure.Kind) scheduler.Reply {
 	return scheduler.Reply{ID: cl.id, Failure: kind, RetryAfter: c.cfg.Scheduler.RetryAfter.D()}
 }
 
-// handleCall answers a call here or passes it on to who has the job.
+// handleCall passes a call to the core, or forwards it to the coordinator that has the job. A call
+// that was forwarded to us is not forwarded again.
 func (c *Coordinator) handleCall(now time.Time, cl *call) {
 	c.lastCall++
 	cl.number = c.lastCall
@@ -84,8 +88,9 @@
 	}
 }
 
-// handleBestEffort takes a best-effort job here, unless another coordinator has it, or may have it.
-// One that was passed on to us and is here no more may have been long on its way.
+// handleBestEffort runs a best-effort job here, unless another coordinator holds it or may hold it.
+// A forwarded call for a job that is not here is refused: it may have been delayed until after
+// the job's end.
 func (c *Coordinator) handleBestEffort(now time.Time, cl *call) {
 	if c.core.HasBestEffort(cl.id) {
 		c.passToCore(now, cl)
@@ -112,16 +117,16 @@
 	}
 }
 
-// refuseDuplicate does not take a best-effort job that may be a copy of one that runs elsewhere: its
-// fate is not known.
-func (c *Coordinator) refuseDuplicate(cl *call, why string) {
+// refuseDuplicate refuses a call for a best-effort job that may run elsewhere or may have run, so
+// that its outcome is not known.
+func (c *Coordinator) refuseDuplicate(cl *call, reason string) {
 	c.metrics.Decision(duplicateRefused)
-	c.log.Info(duplicateRefused, zap.String("job", string(cl.id)), zap.String("reason", why))
+	c.log.Info(duplicateRefused, zap.String("job", string(cl.id)), zap.String("reason", reason))
 	c.reply(cl, c.refusal(cl, failure.CommitUnknown))
 }
 
-// deferCall keeps a best-effort job until the others have told what they have. While it is not
-// known who they are, nobody knows when that will be.
+// deferCall keeps a call until dedup is ready. It refuses the call while the other coordinators are
+// not known, since dedup then waits without a limit, and when too many calls are deferred.
 func (c *Coordinator) deferCall(cl *call) {
 	if !c.dedup.InitialPeersKnown() || len(c.deferred) >= c.cfg.Scheduler.MaxJobs {
 		c.refuseDuplicate(cl, "just_begun")
@@ -130,14 +135,14 @@
 	c.deferred = append(c.deferred, cl)
 }
 
-// handleDeferred takes the jobs that came before the others had told what they have.
+// handleDeferred handles the deferred calls once dedup is ready.
 func (c *Coordinator) handleDeferred(now time.Time) {
 	if len(c.deferred) == 0 || !c.dedup.Ready(now) {
 		return
 	}
-	early := c.deferred
+	deferred := c.deferred
 	c.deferred = nil
-	for _, cl := range early {
+	for _, cl := range deferred {
 		c.handleBestEffort(now, cl)
 	}
 }
@@ -158,8 +163,8 @@
 	}
 }
 
-// recordSentTime tells the core when the call may have been sent, and has the others told soon of a job
-// that is old enough.
+// recordSentTime sets the earliest time at which the call may have been sent, from which the core
+// counts the job's age. A job that is already due to be announced is announced at once.
 func (c *Coordinator) recordSentTime(now time.Time, cl *call) {
 	sent := c.stalls.EarliestSent(now, cl.since)
 	c.core.SetEarliestSent(cl.id, sent)
@@ -168,7 +173,7 @@
 	}
 }
 
-// handleCoreReply takes a reply of the core.
+// handleCoreReply sends a reply of the core to the caller, if it still waits.
 func (c *Coordinator) handleCoreReply(r scheduler.Reply) {
 	cl := c.calls[r.Call]
 	if cl == nil {
@@ -178,8 +183,8 @@
 	c.reply(cl, r)
 }
 
-// reply answers a caller of ours, or the coordinator that passed the call on. One
-// that is gone sends the call again.
+// reply sends a reply to a caller of ours, or to the coordinator that forwarded the call. If that
+// coordinator has gone, the caller sends the call again.
 func (c *Coordinator) reply(cl *call, r scheduler.Reply) {
 	if cl.conn == nil {
 		cl.answer <- r
@@ -191,9 +196,9 @@
 	}
 }
 
-// dropCall drops a call whose caller has left.
+// dropCall removes a call whose caller no longer waits.
 func (c *Coordinator) dropCall(now time.Time, cl *call) {
-	c.deferred = slices.DeleteFunc(c.deferred, func(e *call) bool { return e == cl })
+	c.deferred = slices.DeleteFunc(c.deferred, func(d *call) bool { return d == cl })
 	delete(c.calls, scheduler.Call(cl.number))
 	delete(c.forwarded, cl.number)
 	c.core.Abandon(now, scheduler.Call(cl.number), cl.id)
--- a/jobs/coordinator/coordinator.go
+++ b/jobs/coordinator/coordinator.go
@@ -34,7 +34,7 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// Coordinator is a running coordinator.
+// Coordinator is a running coordinator. Its exported methods may be called by any goroutine.
 type Coordinator struct {
 	cfg     *config.Coordinator
 	log     *logging.Log
@@ -43,71 +43,70 @@
 	loop    *loop.Loop[event]
 	clock   *clock.Clock
 
-	member string // name in the group of owners, unique to this process
+	member string // name in the group of partition owners, unique to this process
 
 	// Owned by the control goroutine.
 	core           *scheduler.Core
 	owned          *ownership.Table
 	loading        map[uint32]context.CancelFunc // partitions being read
-	writers        map[uint32]*writer            // of partitions that are ours
-	members        map[string]store.Member       // all that are registered, by address
+	writers        map[uint32]*writer            // by partition that we own
+	members        map[string]store.Member       // registered processes, by address
 	links          map[string]*link              // to workers and other coordinators, by address
 	inbound        inboundConns                  // from other coordinators
-	routes         map[uint32]route              // partitions of other coordinators
-	dedup          *dedup.Table                  // best-effort jobs that others have
-	deferred       []*call                       // best-effort jobs that wait until others have told what they have
-	stalls         dedup.StallTracker            // for how long calls may have waited for us
-	calls          map[scheduler.Call]*call      // in our core
-	forwarded      map[uint64]*call              // passed on, by their number
-	lastCall       uint64
-	peerCounts     map[string]map[string]uint32 // waiting jobs by coordinator and queue
-	announced      *wire.QueueCounts            // what the others were sent last
-	announcedAt    time.Time                    // zero when they are to be sent one at once
-	countedAt      time.Time                    // when our own jobs were last counted
-	chosenAt       time.Time                    // when the workers to connect to were last chosen
-	drainStartedAt time.Time                    // when a planned stop began
-	leaving        bool                         // all partitions are given up
-	failedJoins    int                          // joins without success since the last with it
+	routes         map[uint32]route              // by partition that another coordinator owns
+	dedup          *dedup.Table                  // best-effort jobs that others hold
+	deferred       []*call                       // submissions that wait until dedup is ready
+	stalls         dedup.StallTracker            // how long calls may have waited before they were read
+	calls          map[scheduler.Call]*call      // in the core
+	forwarded      map[uint64]*call              // to other coordinators, by number
+	lastCall       uint64                        // number of the last call
+	peerCounts     map[string]map[string]uint32  // waiting jobs, by coordinator and queue
+	announced      *wire.QueueCounts             // the last announcement sent
+	announcedAt    time.Time                     // zero if the next one is due at once
+	countedAt      time.Time                     // when the announcement was last computed
+	chosenAt       time.Time                     // when chooseWorkers last ran
+	drainStartedAt time.Time                     // zero before a planned stop
+	leaving        bool                          // all partitions are released for a planned stop
+	failedJoins    int                           // consecutive failures
 
 	// Read by any goroutine.
 	configuration atomic.Pointer[routing.Configuration]
 	waiting       atomic.Pointer[map[string]uint32] // waiting jobs of all coordinators, by queue
 	stopping      atomic.Bool
-	serving       atomic.Bool // there are workers that take tasks
+	serving       atomic.Bool // there are workers that accept tasks, and dedup is ready
 
 	peers    *peer.Listener
 	peerOpts peer.Options
 	ctx      context.Context
 	cancel   context.CancelFunc
-	joinNow  chan struct{} // a join is wanted at once
-	// membersRead is closed when the registered processes have been read once.
+	joinNow  chan struct{} // ends the pause before the next join
+	// membersRead is closed after the first reading of the registered processes.
 	membersRead chan struct{}
 }
 
 const (
-	// ackLimit is how long another process may say nothing after it was written to. Other
-	// coordinators are written to once a second, so a link that has gone silent is noticed 1 s
-	// after the first message that it lost. Within the 1.3 s after which callers send a job
-	// again.
+	// ackLimit is how long another coordinator may send nothing after a message to it, before the
+	// link is closed. Coordinators are sent an announcement at least once a second, so a silent
+	// link is detected 1 s after the first message that it lost: before callers, who wait at
+	// least 1.3 s, send a job again.
 	ackLimit = time.Second
-	// readLimit is how long a process may say nothing that has to. Workers answer heartbeats,
-	// and coordinators announce something or ask for a word, once a second and more often.
+	// readLimit is how long a connection may receive nothing before it is closed. Workers answer
+	// heartbeats, and coordinators send announcements or pings, at least once a second.
 	readLimit = 5 * time.Second
-	// eventBacklog is how many events may wait for the control goroutine; whoever posts more has to
-	// wait.
+	// eventBacklog is how many events may wait for the control goroutine; further posts block.
 	eventBacklog = 4096
-	// controlStalled names the line of a control goroutine that was late.
+	// controlStalled is the log message and metric label of a stall of the control goroutine.
 	controlStalled = "control_late"
-	// tickInterval is how often the core looks at the time: well below its shortest limit, of 100
-	// ms.
+	// tickInterval is how often the core checks its time limits. The shortest of them is 100 ms.
 	tickInterval = 20 * time.Millisecond
-	// operatorsRetryPause is the time between two readings of the operators' records while the
-	// store does not answer. A thirtieth of the time in which an evacuation has to be heeded,
-	// at ten calls a second from each coordinator.
+	// operatorsRetryPause is the pause between attempts to read the operators' records while the
+	// store does not answer. It is a thirtieth of the time within which an evacuation has to take
+	// effect, and costs ten calls a second per coordinator.
 	operatorsRetryPause = 100 * time.Millisecond
 )
 
-// Start starts a coordinator on the store.
+// Start starts a coordinator that listens for other processes and uses the store s. It fails if the
+// clock of the system or the listening address cannot be used.
 func Start(cfg *config.Coordinator, s store.Store, m *metrics.Jobs, log *logging.Log) (*Coordinator, error) {
 	opts := peer.Options{
 		MaxFrame:     cfg.Peers.MaxFrame,
@@ -160,7 +159,7 @@
 	}
 }
 
-// run starts the goroutines.
+// run starts the goroutines, after c.peers and c.ctx have been set.
 func (c *Coordinator) run() {
 	c.peers.Serve(c.hello, inbound{c})
 	go c.loop.Run(c.ctx.Done(), tickInterval, loop.Steps[event]{Clock: c.clock, Resumed: c.resumed, Late: c.stalled, Handle: c.handle, Tick: c.tick, Perform: c.perform})
@@ -169,20 +168,21 @@
 	go c.store.WatchOperators(c.ctx, operatorsRetryPause, c.handleOperatorUpdate)
 }
 
-// resumed takes the end of a suspension of the box. All leases count that time by our clock,
-// so nothing else is to be done.
+// resumed logs that the box was suspended. The clock counts the suspension, so all leases have
+// run on and nothing else needs to be done.
 func (c *Coordinator) resumed(_ time.Time, suspended time.Duration) {
 	c.log.Warn("box_resumed", zap.Int64("suspended_ms", suspended.Milliseconds()))
 }
 
-// stalled takes that nothing was done here for so long. The callers of what we have may have sent it
-// again meanwhile, and those of what comes now may have sent it long ago; others forget our word
-// once our runs would be over.
-func (c *Coordinator) stalled(now time.Time, by time.Duration) {
+// stalled handles the end of a stall, in which the control goroutine handled no event. Callers
+// may have sent the jobs that we hold again in the meantime, and calls that we read now may have
+// been sent long ago. After a stall of RunsEndWithin other coordinators have discarded our last
+// announcement, so our jobs count as unannounced.
+func (c *Coordinator) stalled(now time.Time, length time.Duration) {
 	c.metrics.Decision(controlStalled)
-	c.log.Warn(controlStalled, zap.Int64("late_ms", by.Milliseconds()))
-	c.stalls.Add(now, by)
-	if by >= c.dedup.Settings().RunsEndWithin {
+	c.log.Warn(controlStalled, zap.Int64("late_ms", length.Milliseconds()))
+	c.stalls.Add(now, length)
+	if length >= c.dedup.Settings().RunsEndWithin {
 		c.announced = &wire.QueueCounts{}
 	}
 	c.giveUpUnannounced(now)
@@ -192,15 +192,15 @@
 	return peer.Introduction(wire.RoleCoordinator, c.cfg.Box.Name, c.cfg.Box.DataCentre, c.member, c.peers.Advertised())
 }
 
-// handleOperatorUpdate takes a reading of what operators have put in force.
-func (c *Coordinator) handleOperatorUpdate(news routing.OperatorUpdate) {
-	if news.Configuration != nil {
-		c.configure(news.Configuration)
+// handleOperatorUpdate applies one reading of the operators' records.
+func (c *Coordinator) handleOperatorUpdate(u routing.OperatorUpdate) {
+	if u.Configuration != nil {
+		c.configure(u.Configuration)
 	}
-	c.loop.Post(evacuationsReceived{news.Evacuations})
+	c.loop.Post(evacuationsReceived{u.Evacuations})
 }
 
-// configure puts a configuration in force unless a newer one is.
+// configure puts cfg in force unless its version or a newer one already is.
 func (c *Coordinator) configure(cfg *routing.Configuration) {
 	old := c.configuration.Load()
 	if old != nil && cfg.Version <= old.Version {
@@ -213,7 +213,8 @@
 // Configuration returns the configuration in force; nil before the first.
 func (c *Coordinator) Configuration() *routing.Configuration { return c.configuration.Load() }
 
-// Ready returns whether callers should come here.
+// Ready returns whether callers should send jobs to this coordinator: it has a configuration and
+// workers that accept tasks, and no planned stop has begun.
 func (c *Coordinator) Ready() bool {
 	return c.configuration.Load() != nil && c.serving.Load() && !c.stopping.Load()
 }
@@ -221,8 +222,8 @@
 // Stopping returns whether a planned stop has begun.
 func (c *Coordinator) Stopping() bool { return c.stopping.Load() }
 
-// Waiting returns the number of the queue's jobs none of whose tasks has
-// begun, of all coordinators; it may be a second old.
+// Waiting returns the number of the queue's jobs, at all coordinators, none of whose tasks has
+// started. The counts of other coordinators may be a second old.
 func (c *Coordinator) Waiting(queue string) uint32 {
 	m := c.waiting.Load()
 	if m == nil {
@@ -231,8 +232,8 @@
 	return (*m)[queue]
 }
 
-// Drain begins a planned stop: the partitions are given up as soon as nothing
-// waits for the store, and calls are passed on to their new owners.
+// Drain begins a planned stop: the partitions are released as soon as no append to the store is
+// outstanding, and calls are forwarded to the new owners.
 func (c *Coordinator) Drain() {
 	if c.stopping.Swap(true) {
 		return
@@ -241,7 +242,7 @@
 	c.loop.Post(drainStarted{})
 }
 
-// Close ends everything at once.
+// Close stops the coordinator at once, without a drain, and waits for the control goroutine to end.
 func (c *Coordinator) Close() {
 	c.cancel()
 	<-c.loop.Done()
--- a/jobs/coordinator/events.go
+++ b/jobs/coordinator/events.go
@@ -12,14 +12,15 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// event is what another goroutine tells the control goroutine, which applies it.
+// event is posted by another goroutine, and applied to the coordinator's state by the control
+// goroutine.
 type event interface {
 	apply(c *Coordinator, now time.Time)
 }
 
 func (c *Coordinator) handle(now time.Time, e event) { e.apply(c, now) }
 
-// joined is the answer to a join of the group of owners.
+// joined is the result of a join of the group of owners.
 type joined struct {
 	sent       time.Time
 	assignment store.Assignment
@@ -56,14 +57,14 @@
 	}
 }
 
-// joinFailed logs the first failure of a row.
+// joinFailed logs the first of consecutive failures.
 func (c *Coordinator) joinFailed(now time.Time, e joined) {
 	if c.failedJoins++; c.failedJoins == 1 {
 		c.log.Warn("join_failed", zap.Error(e.err), zap.Duration("took", now.Sub(e.sent)))
 	}
 }
 
-// partitionRead is what the store has of a partition, read under the epoch.
+// partitionRead holds the jobs of a partition as they were read from the store under the epoch.
 type partitionRead struct {
 	partition uint32
 	epoch     uint64
@@ -84,7 +85,7 @@
 	c.announcedAt = time.Time{}
 }
 
-// partitionLost says that a newer owner of a partition has been seen.
+// partitionLost reports that the store knows a newer owner of the partition.
 type partitionLost struct{ partition uint32 }
 
 func (e partitionLost) apply(c *Coordinator, now time.Time) {
@@ -93,7 +94,7 @@
 	c.requestJoin()
 }
 
-// committed says how a commit went.
+// committed is the result of a commit to the partition under the epoch.
 type committed struct {
 	partition uint32
 	epoch     uint64
@@ -110,13 +111,14 @@
 	}
 }
 
-// membersReceived holds processes that are registered.
+// membersReceived holds processes that have registered or changed their records; the first such
+// event holds all that are registered.
 type membersReceived struct{ members []store.Member }
 
 func (e membersReceived) apply(c *Coordinator, now time.Time) { c.updateMembers(now, e.members) }
 
-// evacuationsReceived holds the data centres in which nothing may be started, as the store has
-// just told.
+// evacuationsReceived holds the data centres in which no task may start, as just read from the
+// store.
 type evacuationsReceived struct{ evacuations routing.Evacuations }
 
 func (e evacuationsReceived) apply(c *Coordinator, now time.Time) {
@@ -125,12 +127,12 @@
 	}
 }
 
-// callReceived is a caller's request, ours or passed on by another coordinator.
+// callReceived is a call of a caller of ours.
 type callReceived struct{ call *call }
 
 func (e callReceived) apply(c *Coordinator, now time.Time) { c.handleCall(now, e.call) }
 
-// callerLeft says that one of our own callers no longer waits.
+// callerLeft reports that a caller of ours no longer waits.
 type callerLeft struct{ call *call }
 
 func (e callerLeft) apply(c *Coordinator, now time.Time) { c.dropCall(now, e.call) }
@@ -143,12 +145,14 @@
 	c.requestJoin()
 }
 
-// leaveRequested asks whether the group of owners may be left now.
+// leaveRequested asks the control goroutine to release all partitions, so that the group of owners
+// can be left. The answer is false if it has to be asked again later.
 type leaveRequested struct{ answer chan<- bool }
 
 func (e leaveRequested) apply(c *Coordinator, now time.Time) { e.answer <- c.tryRelease(now) }
 
-// groupLeft says that our partitions are free for others, who are told so.
+// groupLeft reports that we have left the group of owners. Other coordinators are notified, so that
+// they join at once and take over our partitions.
 type groupLeft struct{}
 
 func (groupLeft) apply(c *Coordinator, _ time.Time) {
--- a/jobs/coordinator/forward.go
+++ b/jobs/coordinator/forward.go
@@ -12,14 +12,16 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// duplicateForwarded names the line of a copy of a best-effort job that went to who has the first.
+// duplicateForwarded is the log message and metric label of a resent best-effort job that was
+// forwarded to the coordinator that holds it.
 const duplicateForwarded = "copy_passed_on"
 
-// duplicateRefused names the line of a best-effort job that is not taken, since it may be a copy of
-// one that another coordinator has.
+// duplicateRefused is the log message and metric label of a best-effort job that was refused since
+// another coordinator may hold it or have run it.
 const duplicateRefused = "copy_unsure"
 
-// forward returns whether the call is on its way to the coordinator at the address.
+// forward sends the call to the coordinator at the address. It returns false if there is no
+// connection to it.
 func (c *Coordinator) forward(now time.Time, cl *call, address string) bool {
 	l := c.links[address]
 	if l == nil || l.conn == nil {
@@ -39,11 +41,12 @@
 	return true
 }
 
-// handleForwarded takes a call that another coordinator passes on.
+// handleForwarded handles a call that another coordinator has forwarded to us.
 func (c *Coordinator) handleForwarded(now time.Time, conn *peer.Conn, m *wire.JobCall) {
 	c.handleCall(now, &call{kind: wire.CallKind(m.Kind), id: m.ID, submission: m.Submission, budget: time.Duration(m.BudgetMS) * time.Millisecond, since: now, conn: conn, seq: m.Seq})
 }
 
+// handleForwardReply sends the reply to a forwarded call to its caller.
 func (c *Coordinator) handleForwardReply(m *wire.JobReply) {
 	cl := c.forwarded[m.Seq]
 	if cl == nil {
@@ -58,7 +61,8 @@
 	})
 }
 
-// expireForwarded answers callers whose call got no answer from the owner.
+// expireForwarded fails forwarded calls that the partition's owner has not answered within the call
+// limit. Best-effort jobs have no such limit: their reply comes at the end of the job.
 func (c *Coordinator) expireForwarded(now time.Time) {
 	for _, cl := range c.forwarded {
 		if !cl.bestEffort() && now.Sub(cl.since) > c.cfg.Scheduler.CallLimit.D() {
@@ -67,7 +71,7 @@
 	}
 }
 
-// failForwarded answers the callers whose calls went to a lost coordinator.
+// failForwarded fails the calls that were forwarded to the coordinator at the address.
 func (c *Coordinator) failForwarded(address string) {
 	for _, cl := range c.forwarded {
 		if cl.forwardedTo == address {
@@ -76,7 +80,8 @@
 	}
 }
 
-// failForward answers a call whose fate is not known: the owner may have it.
+// failForward fails a forwarded call. Its outcome is not known: the other coordinator may have
+// accepted it.
 func (c *Coordinator) failForward(cl *call) {
 	delete(c.forwarded, cl.number)
 	c.log.Info("forward_unanswered", zap.String("job", string(cl.id)), zap.String("peer", cl.forwardedTo))
--- a/jobs/coordinator/golden_test.go
+++ b/jobs/coordinator/golden_test.go
@@ -16,8 +16,8 @@
 	"github.com/lichenfall/lichenfall/lib/golden"
 )
 
-// TestAnswersByFailure holds the product's own HTTP answer to each kind of
-// failure, and to each state.
+// TestAnswersByFailure compares the HTTP response of the job interface to each kind of failure, and
+// to each state of a job, with a golden file.
 func TestAnswersByFailure(t *testing.T) {
 	var out strings.Builder
 	answer := func(name string, respond func(echo.Context) error) {
--- a/jobs/coordinator/group.go
+++ b/jobs/coordinator/group.go
@@ -9,7 +9,8 @@
 	"github.com/lichenfall/lichenfall/lib/loop"
 )
 
-// joinLoop stays in the group of owners, until it is left at a planned stop.
+// joinLoop joins the group of owners again and again, which renews the lease on our partitions. It
+// ends when a planned stop has left the group.
 func (c *Coordinator) joinLoop() {
 	generation := uint64(0)
 	for c.ctx.Err() == nil {
@@ -28,7 +29,7 @@
 	}
 }
 
-// waitForNextJoin waits until the next join is due or wanted at once.
+// waitForNextJoin waits until the next join is due or requested.
 func (c *Coordinator) waitForNextJoin() {
 	t := time.NewTimer(c.cfg.Ownership.Join.D())
 	defer t.Stop()
@@ -39,7 +40,7 @@
 	}
 }
 
-// requestJoin ends the present pause between joins.
+// requestJoin makes the next join happen without a pause.
 func (c *Coordinator) requestJoin() {
 	select {
 	case c.joinNow <- struct{}{}:
@@ -47,7 +48,7 @@
 	}
 }
 
-// checkLease stops all work while our lease may be over.
+// checkLease suspends the work on our partitions while the lease on them may have expired.
 func (c *Coordinator) checkLease(now time.Time) {
 	valid := c.owned.Valid(now)
 	for p := range c.writers {
@@ -55,7 +56,7 @@
 	}
 }
 
-// release lets a partition go, whether it is read, ours or neither.
+// release gives up a partition, whether we own it, are still reading it, or neither.
 func (c *Coordinator) release(now time.Time, partition uint32, reason string) {
 	if stop := c.loading[partition]; stop != nil {
 		stop()
@@ -68,8 +69,9 @@
 	}
 }
 
-// leaveGroup gives all partitions up once the control goroutine has let go of
-// them. It returns false while that still has something to store.
+// leaveGroup leaves the group of owners, after the control goroutine has released all partitions.
+// It returns false if the control goroutine still waits for appends to the store, and true if the
+// loop has ended instead.
 func (c *Coordinator) leaveGroup() bool {
 	may, running := loop.Ask(c.loop, func(answer chan<- bool) event { return leaveRequested{answer} })
 	if !running {
@@ -88,8 +90,8 @@
 	return true
 }
 
-// tryRelease lets all partitions go when nothing waits for the store, or the time
-// for that is over.
+// tryRelease releases all partitions once no append to the store is outstanding, or the time limit
+// for that has passed. It returns whether it has done so.
 func (c *Coordinator) tryRelease(now time.Time) bool {
 	if !c.core.AllStored() && now.Sub(c.drainStartedAt) < c.cfg.Ownership.Flush.D() {
 		return false
--- a/jobs/coordinator/inbound.go
+++ b/jobs/coordinator/inbound.go
@@ -7,14 +7,15 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// inboundConns orders the connections that other coordinators keep to us, by when they came
-// up. What a coordinator sent before it gave a connection up may arrive when a cut heals,
-// beside its next connection: an old announcement would hide which best-effort jobs it has,
-// and a call that its caller has long sent again would run beside its copy.
+// inboundConns orders the connections that other coordinators have made to us by when they were
+// made, so that messages over an older connection can be dropped. A coordinator that gives up a
+// connection makes a new one; when the network partition behind it ends, messages over the old
+// connection may still arrive. An old announcement would replace the current list of its
+// best-effort jobs, and an old call whose caller has sent it again would run the job twice.
 type inboundConns struct {
-	count   uint64
-	numbers map[*peer.Conn]uint64 // rises with each connection
-	newest  map[string]uint64     // the latest that each address was heard over
+	count   uint64                // of connections so far
+	numbers map[*peer.Conn]uint64 // of the open connections, rising
+	newest  map[string]uint64     // by address, of the newest connection that a message came over
 }
 
 func newInboundConns() inboundConns {
@@ -28,9 +29,9 @@
 
 func (i *inboundConns) down(conn *peer.Conn) { delete(i.numbers, conn) }
 
-// accept returns whether what comes from the address over the connection counts: none that
-// came up later has been heard. A coordinator says nothing over a connection before it has
-// our hello, so one that it gave up unheard retires nothing.
+// accept returns whether a message from the address over the connection counts: no message has
+// come over a newer connection from there. A newer connection without messages does not matter,
+// since the coordinator may have given it up unused: it sends nothing before it has our hello.
 func (i *inboundConns) accept(conn *peer.Conn, address string) bool {
 	n := i.numbers[conn]
 	if n < i.newest[address] {
@@ -40,7 +41,7 @@
 	return true
 }
 
-// inboundUp says that another coordinator has connected.
+// inboundUp reports that another coordinator has connected to us.
 type inboundUp struct{ conn *peer.Conn }
 
 func (e inboundUp) apply(c *Coordinator, now time.Time) {
@@ -48,9 +49,9 @@
 	c.dialBack(now, e.conn.Peer())
 }
 
-// dialBack connects at once to a coordinator that has connected to us. It may have just begun,
-// and waits to hear what we have, while we dial an address that was silent for long only now and
-// then, or have not read of it.
+// dialBack connects at once to a coordinator that has connected to us. It may have just started
+// and wait for our announcement, while we dial an address that was unreachable for long only now
+// and then, or have not read its registration yet.
 func (c *Coordinator) dialBack(now time.Time, h *wire.Hello) {
 	l := c.links[h.Address]
 	switch {
@@ -62,21 +63,21 @@
 	c.connect(now, h.Address, wire.RoleCoordinator)
 }
 
-// inboundDown says that its connection is lost.
+// inboundDown reports that a connection from another coordinator is lost.
 type inboundDown struct{ conn *peer.Conn }
 
 func (e inboundDown) apply(c *Coordinator, _ time.Time) { c.inbound.down(e.conn) }
 
-// inbound posts what happens on connections that other coordinators keep to us.
+// inbound posts the events of connections that other coordinators have made to us.
 type inbound struct{ c *Coordinator }
 
-// Up is called when the connection is made.
+// Up posts that a connection has been made.
 func (i inbound) Up(conn *peer.Conn, _ *wire.Hello) { i.c.loop.Post(inboundUp{conn}) }
 
-// Message is called for each message of the peer.
+// Message posts a message.
 func (i inbound) Message(conn *peer.Conn, m wire.Message) {
 	i.c.loop.Post(peerMessage{address: conn.Peer().Address, conn: conn, message: m, inbound: true})
 }
 
-// Down is called when the connection is lost.
+// Down posts that a connection is lost.
 func (i inbound) Down(conn *peer.Conn, _ error) { i.c.loop.Post(inboundDown{conn}) }
--- a/jobs/coordinator/links.go
+++ b/jobs/coordinator/links.go
@@ -12,24 +12,25 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// link is the connection that we keep to another process.
+// link is the connection that we maintain to another process.
 type link struct {
 	role wire.Role
-	conn *peer.Conn // nil while there is none
+	conn *peer.Conn // nil while it is down
 	stop context.CancelFunc
-	// changed is when the connection was made or lost, or first wanted.
+	// changed is when the connection was last made or lost, or when the link was created.
 	changed time.Time
 }
 
-// connect keeps a connection to the address until it is no longer wanted.
+// connect creates a link to the address: a connection that is dialled again whenever it is lost,
+// until the link's stop is called.
 func (c *Coordinator) connect(now time.Time, address string, role wire.Role) {
 	ctx, stop := context.WithCancel(c.ctx)
 	c.links[address] = &link{role: role, stop: stop, changed: now}
 	go peer.Keep(ctx, address, c.linkOptions(role), c.hello, outbound{c, address})
 }
 
-// linkOptions returns the settings of connections to processes of the role. A silent
-// worker is found by its statuses, sooner.
+// linkOptions returns the options of connections to processes of the role. Workers need no
+// AckLimit: a silent worker is detected sooner, by its missing statuses.
 func (c *Coordinator) linkOptions(role wire.Role) peer.Options {
 	opts := c.peerOpts
 	if role == wire.RoleCoordinator {
@@ -38,9 +39,9 @@
 	return opts
 }
 
-var errSilent = errs.New("silent for too long")
+var errSilent = errs.New("no status from the worker in time")
 
-// reconnect closes the connection to a silent worker; it is dialled again.
+// reconnect closes the connection to a silent worker, which is then dialled again.
 func (c *Coordinator) reconnect(address string) {
 	if l := c.links[address]; l != nil && l.conn != nil {
 		l.conn.Close(errSilent)
@@ -48,7 +49,7 @@
 	}
 }
 
-// linkUp says that a connection that we keep has been made.
+// linkUp reports that the connection of a link has been made.
 type linkUp struct {
 	address string
 	conn    *peer.Conn
@@ -71,8 +72,8 @@
 	c.announcedAt = time.Time{}
 }
 
-// reportRecord tells a worker what the store has of it. It may have just started, and would
-// have to read the records of all to find its own.
+// reportRecord sends a worker its record in the store, as far as we have read it. A worker that has
+// just started would otherwise have to read the records of all processes to find its own.
 func (c *Coordinator) reportRecord(address string, conn *peer.Conn) {
 	b := c.members[address].Backend
 	if b == nil {
@@ -84,7 +85,7 @@
 	}
 }
 
-// linkDown says that a connection that we keep is lost.
+// linkDown reports that the connection of a link is lost.
 type linkDown struct {
 	address string
 	conn    *peer.Conn
@@ -106,12 +107,12 @@
 	c.peerLost(now, e.address)
 }
 
-// peerMessage is a message of another process, by the address that it is known by.
+// peerMessage is a message from the process that is known by the address.
 type peerMessage struct {
 	address string
 	conn    *peer.Conn
 	message wire.Message
-	inbound bool // over a connection that the peer keeps to us
+	inbound bool // over a connection that the peer has made to us
 }
 
 func (e peerMessage) apply(c *Coordinator, now time.Time) {
@@ -141,19 +142,19 @@
 	}
 }
 
-// outbound posts what happens on a connection that we keep to an address.
+// outbound posts the events of our link to an address.
 type outbound struct {
 	c       *Coordinator
 	address string
 }
 
-// Up is called when the connection is made.
+// Up posts that the connection has been made.
 func (o outbound) Up(conn *peer.Conn, h *wire.Hello) { o.c.loop.Post(linkUp{o.address, conn, h}) }
 
-// Message is called for each message of the peer.
+// Message posts a message.
 func (o outbound) Message(conn *peer.Conn, m wire.Message) {
 	o.c.loop.Post(peerMessage{address: o.address, conn: conn, message: m})
 }
 
-// Down is called when the connection is lost.
+// Down posts that the connection is lost.
 func (o outbound) Down(conn *peer.Conn, err error) { o.c.loop.Post(linkDown{o.address, conn, err}) }
--- a/jobs/coordinator/members.go
+++ b/jobs/coordinator/members.go
@@ -12,17 +12,17 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// register makes the process known, however long that takes.
-func (c *Coordinator) register(k *registration.Registrar) {
+// register registers this coordinator in the store, however long that takes.
+func (c *Coordinator) register(r *registration.Registrar) {
 	m := store.Member{Address: c.peers.Advertised(), Role: store.RoleCoordinator, DataCentre: c.cfg.Box.DataCentre}
 	never := func() bool { return false }
-	k.Register(c.ctx, m, never)
+	r.Register(c.ctx, m, never)
 }
 
-// followMembers tells the control goroutine of the registered processes. The first
-// reading tells whether we are registered.
+// followMembers posts the registered processes and their changes. The first reading also shows
+// whether this coordinator is registered, and starts its registration.
 func (c *Coordinator) followMembers() {
-	k := registration.NewRegistrar(c.store, c.log)
+	r := registration.NewRegistrar(c.store, c.log)
 	first := true
 	c.store.WatchMembers(c.ctx, func(members []store.Member) {
 		c.loop.Post(membersReceived{members})
@@ -31,12 +31,13 @@
 		}
 		first = false
 		close(c.membersRead)
-		k.SetRecorded(store.MemberAt(members, c.peers.Advertised()))
-		go c.register(k)
+		r.SetRecorded(store.MemberAt(members, c.peers.Advertised()))
+		go c.register(r)
 	})
 }
 
-// updateMembers connects to processes that are new.
+// updateMembers records processes that are new or have changed, connects to new coordinators, and
+// chooses again which workers to connect to.
 func (c *Coordinator) updateMembers(now time.Time, members []store.Member) {
 	c.logNewMembers(members)
 	c.dedup.SetInitialPeers(now, c.otherCoordinators(members))
@@ -54,7 +55,7 @@
 	c.chooseWorkers(now)
 }
 
-// otherCoordinators returns the addresses of the coordinators among the processes, without ours.
+// otherCoordinators returns the addresses of the coordinators among members, without our own.
 func (c *Coordinator) otherCoordinators(members []store.Member) []string {
 	var out []string
 	for _, m := range members {
@@ -65,12 +66,13 @@
 	return out
 }
 
-// maxNamedMembers is up to how many new processes of one reading are named in the log. At a start
-// there are as many as boxes, and a line for each at each coordinator would tell nothing that
-// the store does not have.
+// maxNamedMembers is the largest number of new processes of one reading that are logged by address.
+// At a start of all there is one per box, and a line for each at each coordinator would only repeat
+// what the store has.
 const maxNamedMembers = 32
 
-// logNewMembers writes who is new: by address, or where there are many how many.
+// logNewMembers logs the processes that are new: each address, or only their number if there are
+// many.
 func (c *Coordinator) logNewMembers(members []store.Member) {
 	var fresh []store.Member
 	for _, m := range members {
@@ -88,58 +90,58 @@
 }
 
 const (
-	// chooseInterval is how often the workers to connect to are chosen again; they are as soon as
-	// the registered processes change, too.
+	// chooseInterval is how often the workers to connect to are chosen again. They are also chosen
+	// again when the registered processes change.
 	chooseInterval = time.Second
-	// workerUnreachableAfter is how long a worker without connection still counts among those chosen.
-	// Longer than a restart takes.
+	// workerUnreachableAfter is how long a worker without a connection still counts towards the
+	// number of chosen workers. It is longer than a restart takes.
 	workerUnreachableAfter = 2 * time.Second
-	// coordinatorGoneAfter is how long a coordinator without connection keeps its place in the
-	// ring. Longer than a replacement takes.
+	// coordinatorGoneAfter is how long a coordinator without a connection keeps its position in the
+	// ring. It is longer than a replacement takes.
 	coordinatorGoneAfter = 10 * time.Second
 )
 
-// chooseWorkers connects to the workers of our subset, and gives up those that
-// are no longer in it and have nothing of ours. While workers are to tell what
-// they have of a partition, all of them are connected to.
+// chooseWorkers connects to the workers of our subset, and disconnects from workers that are no
+// longer in it and have no tasks of ours. While run reports of workers are awaited for a
+// partition, it stays connected to all workers.
 func (c *Coordinator) chooseWorkers(now time.Time) {
 	c.chosenAt = now
 	workers := c.knownWorkers(now)
-	wanted := c.workerDemand(now, workers)
-	chosen := subset.Choose(c.cfg.Subset.Core(), c.peers.Advertised(), c.ringCoordinators(now), workers, wanted)
-	asking := c.core.AwaitingReports()
+	demand := c.workerDemand(now, workers)
+	chosen := subset.Choose(c.cfg.Subset.Core(), c.peers.Advertised(), c.ringCoordinators(now), workers, demand)
+	awaiting := c.core.AwaitingReports()
 	for _, w := range workers {
 		preferred, isChosen := chosen[w.Address]
 		c.core.SetPreference(w.Address, preference(preferred, isChosen))
 		l := c.links[w.Address]
-		if l == nil && (asking || isChosen) {
+		if l == nil && (awaiting || isChosen) {
 			c.connect(now, w.Address, wire.RoleWorker)
 		}
-		if l != nil && !asking && !isChosen && !c.core.Busy(w.Address) {
+		if l != nil && !awaiting && !isChosen && !c.core.Busy(w.Address) {
 			c.disconnect(now, w.Address, l)
 		}
 	}
-	c.updateSharers(workers, wanted)
+	c.updateSharers(workers, demand)
 }
 
-// workerDemand returns how many workers of each service our own demand asks for.
+// workerDemand returns how many workers of each service our own jobs need.
 func (c *Coordinator) workerDemand(now time.Time, workers []subset.Worker) subset.Demand {
-	wanted := make(subset.Demand)
+	demand := make(subset.Demand)
 	for _, w := range workers {
-		if _, known := wanted[w.Service]; known {
+		if _, known := demand[w.Service]; known {
 			continue
 		}
 		n, all := c.core.WorkersWanted(now, w.Service)
 		if all {
 			n = c.cfg.Subset.Size
 		}
-		wanted[w.Service] = n
+		demand[w.Service] = n
 	}
-	return wanted
+	return demand
 }
 
-// choiceDue returns whether the workers are to be chosen again: now and then, and as
-// soon as tasks begin to fit at none of them.
+// choiceDue returns whether the workers have to be chosen again: every chooseInterval, and as soon as
+// some task fits at none of the chosen workers.
 func (c *Coordinator) choiceDue(now time.Time) bool {
 	return now.Sub(c.chosenAt) >= chooseInterval || c.core.ShortageSince(c.chosenAt)
 }
@@ -154,7 +156,7 @@
 	return scheduler.Neutral
 }
 
-// disconnect gives up a connection to a worker.
+// disconnect removes the link to a worker that is no longer chosen.
 func (c *Coordinator) disconnect(now time.Time, address string, l *link) {
 	l.stop()
 	delete(c.links, address)
@@ -162,8 +164,8 @@
 	c.log.Info("worker_not_chosen", zap.String("worker", address))
 }
 
-// updateSharers tells the core how many coordinators share its workers.
-func (c *Coordinator) updateSharers(workers []subset.Worker, wanted subset.Demand) {
+// updateSharers updates for the core how many coordinators share each worker of a service.
+func (c *Coordinator) updateSharers(workers []subset.Worker, demand subset.Demand) {
 	byService := make(map[string]int)
 	for _, w := range workers {
 		if !w.Evacuated {
@@ -172,11 +174,11 @@
 	}
 	settings := c.cfg.Subset.Core()
 	for service, n := range byService {
-		c.core.SetSharers(service, settings.Sharers(service, n, 1+c.connectedCoordinators(), wanted))
+		c.core.SetSharers(service, settings.Sharers(service, n, 1+c.connectedCoordinators(), demand))
 	}
 }
 
-// knownWorkers returns the registered workers.
+// knownWorkers returns the registered workers with what is known of each.
 func (c *Coordinator) knownWorkers(now time.Time) []subset.Worker {
 	var out []subset.Worker
 	for address, m := range c.members {
@@ -196,8 +198,8 @@
 	return out
 }
 
-// ringCoordinators returns the addresses of the other coordinators that are
-// connected, or were until a while ago.
+// ringCoordinators returns the addresses of the other coordinators that keep a position in the ring:
+// those that are connected, or were within coordinatorGoneAfter.
 func (c *Coordinator) ringCoordinators(now time.Time) []string {
 	var out []string
 	for address, l := range c.links {
--- a/jobs/coordinator/overview.go
+++ b/jobs/coordinator/overview.go
@@ -8,18 +8,18 @@
 	"github.com/lichenfall/lichenfall/lib/ordered"
 )
 
-// QueueLoad is what a coordinator has of one queue.
+// QueueLoad is the load of one queue at a coordinator.
 type QueueLoad struct {
 	Queue   string `json:"queue"`
-	Waiting uint32 `json:"waiting"` // jobs here none of whose tasks has begun
+	Waiting uint32 `json:"waiting"` // jobs here none of whose tasks has started
 	Refused uint32 `json:"refused"` // calls that were refused here in the last ten seconds
 }
 
-// Overview is what a coordinator says of itself to operators.
+// Overview is the status of a coordinator that operators can query.
 type Overview struct {
 	Box         string                     `json:"box"`
 	DataCentre  string                     `json:"data_centre"`
-	Member      string                     `json:"member"` // its name in the group of owners
+	Member      string                     `json:"member"` // its name in the group of partition owners
 	Ready       bool                       `json:"ready"`
 	Stopping    bool                       `json:"stopping"`
 	Partitions  int                        `json:"partitions"`
@@ -28,12 +28,12 @@
 	Workers     []scheduler.WorkerView     `json:"workers"`
 }
 
-// overviewRequested asks for the overview.
+// overviewRequested asks the control goroutine for the overview.
 type overviewRequested struct{ answer chan<- Overview }
 
 func (e overviewRequested) apply(c *Coordinator, now time.Time) { e.answer <- c.overview(now) }
 
-// Overview returns what the coordinator says of itself to operators; ok is false after its end.
+// Overview returns the status of the coordinator; ok is false after Close.
 func (c *Coordinator) Overview() (o Overview, ok bool) {
 	return loop.Ask(c.loop, func(answer chan<- Overview) event { return overviewRequested{answer} })
 }
@@ -52,7 +52,8 @@
 	}
 }
 
-// queueLoads returns the queues of which jobs wait here, or were refused lately.
+// queueLoads returns the queues that have waiting jobs here, or had calls refused recently, in order
+// of their names.
 func (c *Coordinator) queueLoads(now time.Time) []QueueLoad {
 	waiting, refused := c.core.Waiting(), c.core.Refused(now)
 	loads := make(map[string]QueueLoad)
--- a/jobs/coordinator/perform.go
+++ b/jobs/coordinator/perform.go
@@ -9,6 +9,7 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
+// tick does what depends on the time alone: it checks time limits, announces and chooses workers.
 func (c *Coordinator) tick(now time.Time) {
 	c.checkLease(now)
 	c.giveUpUnannounced(now)
@@ -23,7 +24,7 @@
 	}
 }
 
-// perform does what the core has decided.
+// perform carries out the effects that the core has decided on.
 func (c *Coordinator) perform(now time.Time) {
 	e := c.core.Take(now)
 	for _, commit := range e.Commits {
@@ -73,9 +74,8 @@
 	}
 }
 
-// sendCoordinator sends a message to another coordinator, if it is connected. One that
-// cannot be sent is lost with its connection, of which linkDown tells; what it
-// said is announced again when the connection is back.
+// sendCoordinator sends a message to another coordinator, if it is connected. If that fails the
+// connection is lost: linkDown handles it, and the next connection begins with an announcement.
 func (c *Coordinator) sendCoordinator(l *link, m wire.Message) {
 	if l.conn == nil {
 		return
@@ -85,6 +85,7 @@
 	}
 }
 
+// logNote counts and logs a decision of the core.
 func (c *Coordinator) logNote(now time.Time, n *scheduler.Note) {
 	c.metrics.Decision(string(n.What))
 	fields := noteFields(n)
@@ -95,7 +96,7 @@
 	c.log.Info(string(n.What), fields...)
 }
 
-// noteFields returns the fields of a note's line that apply.
+// noteFields returns the log fields of a note that are set.
 func noteFields(n *scheduler.Note) []zap.Field {
 	fields := make([]zap.Field, 0, 8)
 	if n.Job != "" {
--- a/jobs/coordinator/stall_test.go
+++ b/jobs/coordinator/stall_test.go
@@ -15,7 +15,7 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// stallCase is a coordinator that knows all others, at a time that the case moves on.
+// stallCase is a coordinator whose dedup table is ready, with a time that the test advances.
 type stallCase struct {
 	*Coordinator
 	now time.Time
@@ -33,15 +33,15 @@
 	return &stallCase{c, now}
 }
 
-func (c *stallCase) pass(d time.Duration) { c.now = c.now.Add(d) }
+func (c *stallCase) advance(d time.Duration) { c.now = c.now.Add(d) }
 
-// stall has nothing be done for so long.
+// stall makes the coordinator handle nothing for d.
 func (c *stallCase) stall(d time.Duration) {
-	c.pass(d)
+	c.advance(d)
 	c.stalled(c.now, d)
 }
 
-// submit has a call come that is taken at once, and returns whether the core has its job.
+// submit makes a call that is read and handled now, and returns whether the core holds its job.
 func (c *stallCase) submit(id durable.JobID) bool {
 	s := &durable.Submission{ID: id, BestEffort: true, Steps: []durable.Step{{Count: 1, EstimateMS: 500}}}
 	s.Queue = durable.Queue{Name: "q", Service: "s", Stretch: 10, TargetMS: 10000, MaxAttempts: 1}
@@ -51,54 +51,54 @@
 	return c.core.HasBestEffort(id)
 }
 
-// TestCallIsNotNewAfterAPause guards against a call that may have waited through a pause being
-// taken as new, beside its copy, also when a short lateness follows the pause.
-func TestCallIsNotNewAfterAPause(t *testing.T) {
+// TestCallAfterAStallIsRefused guards against a job running twice because its call waited through a
+// stall while its caller sent it again elsewhere, also when a short stall follows the long one.
+func TestCallAfterAStallIsRefused(t *testing.T) {
 	c := newStallCase(t)
 	c.stall(4 * time.Second)
 	if c.submit("00000000000000a1") {
-		t.Error("taken right after the pause")
+		t.Error("accepted right after the stall")
 	}
-	c.pass(20 * time.Millisecond)
+	c.advance(20 * time.Millisecond)
 	c.stall(140 * time.Millisecond)
-	c.pass(40 * time.Millisecond)
+	c.advance(40 * time.Millisecond)
 	if c.submit("00000000000000a2") {
-		t.Error("taken after a short lateness")
+		t.Error("accepted after a short stall that followed")
 	}
-	c.pass(2 * time.Second)
+	c.advance(2 * time.Second)
 	if !c.submit("00000000000000a3") {
-		t.Error("refused long after the pause")
+		t.Error("refused long after the stall")
 	}
 }
 
-// TestCallCountsFromThePause guards against a job being told to others too late since it waited
-// through a pause before it was taken.
-func TestCallCountsFromThePause(t *testing.T) {
+// TestAgeOfCallIncludesStall guards against a job being announced too late because its call waited
+// through a stall that its age does not include.
+func TestAgeOfCallIncludesStall(t *testing.T) {
 	c := newStallCase(t)
 	c.stall(time.Second)
 	if !c.submit("00000000000000a1") {
-		t.Fatal("not taken")
+		t.Fatal("call refused")
 	}
-	c.pass(c.dedup.Settings().AnnounceDeadline() - time.Second)
+	c.advance(c.dedup.Settings().AnnounceDeadline() - time.Second)
 	c.giveUpUnannounced(c.now)
 	if c.core.HasBestEffort("00000000000000a1") {
-		t.Error("goes on, and nobody was told")
+		t.Error("still held, though it was not announced")
 	}
 }
 
-// TestToldJobsAreForgottenInALongPause guards against a coordinator going on with jobs that it told
-// others of before a pause in which these have forgotten its word.
-func TestToldJobsAreForgottenInALongPause(t *testing.T) {
+// TestAnnouncedJobsAreGivenUpAfterALongStall guards against a coordinator continuing jobs that it
+// announced before a stall so long that the others have discarded the announcement.
+func TestAnnouncedJobsAreGivenUpAfterALongStall(t *testing.T) {
 	for _, length := range []time.Duration{2 * time.Second, 3 * time.Second} {
 		c := newStallCase(t)
 		if !c.submit("00000000000000a1") {
-			t.Fatal("not taken")
+			t.Fatal("call refused")
 		}
-		c.pass(c.dedup.Settings().AnnounceAfter())
+		c.advance(c.dedup.Settings().AnnounceAfter())
 		c.announce(c.now)
 		c.stall(length)
 		if held, kept := c.core.HasBestEffort("00000000000000a1"), length < c.dedup.Settings().RunsEndWithin; held != kept {
-			t.Errorf("after %v: held %v", length, held)
+			t.Errorf("after a stall of %v: held %v", length, held)
 		}
 	}
 }
--- a/jobs/coordinator/takeover.go
+++ b/jobs/coordinator/takeover.go
@@ -11,7 +11,8 @@
 	"github.com/lichenfall/lichenfall/lib/loop"
 )
 
-// load reads a partition in the background.
+// load starts to read a newly assigned partition in the background. It replaces a reading that is
+// still in progress.
 func (c *Coordinator) load(partition uint32, epoch uint64) {
 	if stop := c.loading[partition]; stop != nil {
 		stop()
@@ -21,11 +22,11 @@
 	go c.read(ctx, partition, epoch)
 }
 
-// readPause is the pause after a reading of a partition that failed.
+// readPause is the pause before a failed reading of a partition is repeated.
 const readPause = 50 * time.Millisecond
 
-// read fences earlier owners and reads what they left, once it is known which
-// workers there are: they have to be asked what they run of it.
+// read fences the earlier owners of a partition and reads the jobs that they left. It first waits
+// until the registered workers are known, since they have to be asked which of its runs they have.
 func (c *Coordinator) read(ctx context.Context, partition uint32, epoch uint64) {
 	select {
 	case <-c.membersRead:
@@ -46,6 +47,7 @@
 	}
 }
 
+// readOnce fences and reads the partition once.
 func (c *Coordinator) readOnce(ctx context.Context, partition uint32, epoch uint64) ([]durable.Record, error) {
 	call, cancel := context.WithTimeout(ctx, c.cfg.Ownership.ReadLimit.D())
 	defer cancel()
@@ -55,8 +57,7 @@
 	return c.store.NewestRecords(call, partition)
 }
 
-// collect groups the records of a partition by job. One that cannot be read is
-// left out, with a line that names it.
+// collect groups the records of a partition by job. Malformed records are left out and logged.
 func (c *Coordinator) collect(partition uint32, records []durable.Record) map[durable.JobID]*durable.Stored {
 	stored, malformed := durable.Collect(records)
 	for _, key := range malformed {
--- a/jobs/coordinator/writer.go
+++ b/jobs/coordinator/writer.go
@@ -12,7 +12,7 @@
 	"github.com/lichenfall/lichenfall/lib/loop"
 )
 
-// writer appends the commits of one partition, one at a time.
+// writer appends the commits of one partition to the store, one at a time.
 type writer struct {
 	work chan scheduler.Commit
 	stop context.CancelFunc
@@ -25,6 +25,7 @@
 	return w
 }
 
+// write appends commits and posts their results until ctx ends.
 func (c *Coordinator) write(ctx context.Context, w *writer, partition uint32, epoch uint64) {
 	a := &appender{store: c.store, limit: c.cfg.Ownership.AppendLimit.D(), appending: store.NewAppendTracker(), log: c.log}
 	for {
@@ -40,19 +41,20 @@
 	}
 }
 
-// appender appends the commits of one partition under one epoch, each until
-// its fate is known.
+// appender appends the commits of one partition under one epoch. It repeats each append until its
+// outcome is known.
 type appender struct {
 	store     store.Store
-	limit     time.Duration // for one call
+	limit     time.Duration // timeout of one call
 	appending *store.AppendTracker
 	log       *logging.Log
 }
 
-// appendPause is the pause before an append without an answer is repeated. Some ten times what
-// an append takes.
+// appendPause is the pause before an append whose outcome is not known is repeated. It is about ten
+// times as long as an append takes.
 const appendPause = 40 * time.Millisecond
 
+// append returns the outcome of the commit; CommitLost also when ctx ends before it is known.
 func (a *appender) append(ctx context.Context, c scheduler.Commit) scheduler.CommitResult {
 	for ctx.Err() == nil {
 		err := a.appendOnce(ctx, c)
@@ -73,6 +75,7 @@
 	return scheduler.CommitLost
 }
 
+// appendOnce calls the store once with the number of the current append.
 func (a *appender) appendOnce(ctx context.Context, c scheduler.Commit) error {
 	call, cancel := context.WithTimeout(ctx, a.limit)
 	defer cancel()
