--- a/jobs/coordinator/announce.go
+++ b/jobs/coordinator/announce.go
@@ -28,9 +28,9 @@
 )
 
 // announce sends our partitions, our best-effort jobs and our counts of waiting jobs to the other
-// coordinators. It does so at least every maxAnnounceInterval, and sooner if the partitions
-// changed or a best-effort job is due to be announced, since others might otherwise route a call
-// wrongly.
+// coordinators, at least every maxAnnounceInterval. Every Ownership.Announce it checks whether the
+// partitions have changed or a best-effort job is due to be announced. It then sends at once, since
+// others might otherwise route a call wrongly.
 func (c *Coordinator) announce(now time.Time) {
 	if now.Sub(c.countedAt) < c.cfg.Ownership.Announce.D() && !c.announcedAt.IsZero() {
 		return
--- a/jobs/coordinator/calls.go
+++ b/jobs/coordinator/calls.go
@@ -29,8 +29,8 @@
 }
 
 // Submit submits a job and returns the reply once the store has it, for a best-effort job once it
-// has ended. The reply's Failure is None on success. If ctx ends before, it is CommitUnknown: the
-// job may or may not have been accepted.
+// has ended. The reply's Failure is None on success. If ctx or the coordinator ends before, it is
+// CommitUnknown: the job may or may not have been accepted.
 func (c *Coordinator) Submit(ctx context.Context, s *durable.Submission) scheduler.Reply {
 	return c.do(ctx, &call{kind: wire.CallSubmit, id: s.ID, submission: s})
 }
@@ -90,7 +90,8 @@
 
 // handleBestEffort runs a best-effort job here, unless another coordinator holds it or may hold it.
 // A forwarded call for a job that is not here is refused: it may have been delayed until after
-// the job's end.
+// the job's end. So is a call that may have waited through a long stall, since its caller may have
+// sent it again elsewhere.
 func (c *Coordinator) handleBestEffort(now time.Time, cl *call) {
 	if c.core.HasBestEffort(cl.id) {
 		c.passToCore(now, cl)
--- a/jobs/coordinator/group.go
+++ b/jobs/coordinator/group.go
@@ -73,11 +73,11 @@
 // It returns false if the control goroutine still waits for appends to the store, and true if the
 // loop has ended instead.
 func (c *Coordinator) leaveGroup() bool {
-	may, running := loop.Ask(c.loop, func(answer chan<- bool) event { return leaveRequested{answer} })
+	released, running := loop.Ask(c.loop, func(answer chan<- bool) event { return leaveRequested{answer} })
 	if !running {
 		return true
 	}
-	if !may {
+	if !released {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(c.ctx, c.cfg.Ownership.CallLimit.D())
--- a/jobs/coordinator/inbound.go
+++ b/jobs/coordinator/inbound.go
@@ -14,7 +14,7 @@
 // best-effort jobs, and an old call whose caller has sent it again would run the job twice.
 type inboundConns struct {
 	count   uint64                // of connections so far
-	numbers map[*peer.Conn]uint64 // of the open connections, rising
+	numbers map[*peer.Conn]uint64 // by open connection; higher for a newer one
 	newest  map[string]uint64     // by address, of the newest connection that a message came over
 }
 
--- a/jobs/coordinator/overview.go
+++ b/jobs/coordinator/overview.go
@@ -15,7 +15,7 @@
 	Refused uint32 `json:"refused"` // calls that were refused here in the last ten seconds
 }
 
-// Overview is the status of a coordinator that operators can query.
+// Overview is the status of a coordinator as it is reported to operators.
 type Overview struct {
 	Box         string                     `json:"box"`
 	DataCentre  string                     `json:"data_centre"`
--- a/jobs/coordinator/stall_test.go
+++ b/jobs/coordinator/stall_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestAgeOfCallIncludesStall guards against a job being announced too late because its call waited
-// through a stall that its age does not include.
+// TestAgeOfCallIncludesStall guards against a job being announced too late because its age does not
+// include a stall that its call waited through.
 func TestAgeOfCallIncludesStall(t *testing.T) {
 	c := newStallCase(t)
 	c.stall(time.Second)
--- a/jobs/coordinator/takeover.go
+++ b/jobs/coordinator/takeover.go
@@ -26,7 +26,7 @@
 const readPause = 50 * time.Millisecond
 
 // read fences the earlier owners of a partition and reads the jobs that they left. It first waits
-// until the registered workers are known, since they have to be asked which of its runs they have.
+// until the registered workers are known, since they have to be asked for runs of the partition.
 func (c *Coordinator) read(ctx context.Context, partition uint32, epoch uint64) {
 	select {
 	case <-c.membersRead:
