--- a/jobs/routing/evacuations.go
+++ b/jobs/routing/evacuations.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Evacuations lists the data centres in which operators allow no task to start, at one point of
-// their records. Tasks that already run there continue to their end.
+// Evacuations lists the data centres in which operators allow no task to start, as of one position
+// in their records. Tasks that already run there continue to their end.
 type Evacuations struct {
 	// Offset is how far the operators' records had been read; 0 is before the first. The store
 	// assigns offsets in the order of the operators' writes, so the value with the higher offset
