--- a/jobs/coordinator/coordinator.go
+++ b/jobs/coordinator/coordinator.go
@@ -214,12 +214,12 @@
 func (c *Coordinator) Configuration() *routing.Configuration { return c.configuration.Load() }
 
 // Ready returns whether callers should send jobs to this coordinator: it has a configuration and
-// workers that accept tasks, and no planned stop has begun.
+// workers that accept tasks, and no planned stop has started.
 func (c *Coordinator) Ready() bool {
 	return c.configuration.Load() != nil && c.serving.Load() && !c.stopping.Load()
 }
 
-// Stopping returns whether a planned stop has begun.
+// Stopping returns whether a planned stop has started.
 func (c *Coordinator) Stopping() bool { return c.stopping.Load() }
 
 // Waiting returns the number of the queue's jobs, at all coordinators, none of whose tasks has
@@ -232,7 +232,7 @@
 	return (*m)[queue]
 }
 
-// Drain begins a planned stop: the partitions are released as soon as no append to the store is
+// Drain starts a planned stop: the partitions are released as soon as no append to the store is
 // outstanding, and calls are forwarded to the new owners.
 func (c *Coordinator) Drain() {
 	if c.stopping.Swap(true) {
--- a/jobs/coordinator/events.go
+++ b/jobs/coordinator/events.go
@@ -137,7 +137,7 @@
 
 func (e callerLeft) apply(c *Coordinator, now time.Time) { c.dropCall(now, e.call) }
 
-// drainStarted begins a planned stop.
+// drainStarted starts a planned stop.
 type drainStarted struct{}
 
 func (drainStarted) apply(c *Coordinator, now time.Time) {
