--- a/jobs/runtable/runtable_test.go
+++ b/jobs/runtable/runtable_test.go
@@ -352,7 +352,7 @@
 		Expect(how(ends(f.take())[0])).To(Equal(wire.EndCrashed))
 	})
 
-	It("may be ordered by a coordinator whose connections came up and went down in another order", func() {
+	It("of other connections of a coordinator leave the remaining one able to order runs", func() {
 		f := newFixture().ready()
 		f.table.OwnerUp(f.now, "older", member) // it is accepted after the newer one
 		f.table.OwnerDown(f.now, "older")
