--- a/jobs/runtable/lapse.go
+++ b/jobs/runtable/lapse.go
@@ -7,7 +7,7 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// lapseMargin is added to the end of the backend server's lease, since its timers fire late.
+// lapseMargin is added to the end of the backend server's lease, since timers fire late.
 const lapseMargin = 50 * time.Millisecond
 
 // expireLeases handles the owners whose lease has expired while runs of theirs, or ends that
