--- a/jobs/scheduler/admission.go
+++ b/jobs/scheduler/admission.go
@@ -20,8 +20,8 @@
 //
 // docs/design/0013 has the reasons.
 
-// admitShare is the share of its slack that a job may be thought to wait.
-const admitShare = 0.5
+// maxWaitShare is the share of its slack that a job may be thought to wait.
+const maxWaitShare = 0.5
 
 // Why a job was refused on its arrival.
 const (
@@ -37,30 +37,30 @@
 //     moment ago: it is taken, and waits for them;
 //   - no worker of its service takes tasks: it is refused;
 //   - there is room now, in whole tasks, for all that could begin: it is taken;
-//   - it waits for what comes before it no longer than admitShare of the slack of its first
+//   - it waits for what comes before it no longer than maxWaitShare of the slack of its first
 //     task, as a job of the first class if its own is left behind: it is taken;
 //   - jobs of later classes that have not begun come before it, and without them it would
 //     not wait longer: they give way.
 func (c *Core) admit(now time.Time, j *job) (f Forecast, why string) {
 	service := j.sub.Queue.Service
 	s := c.supplyOf(now, service)
-	if c.someUnreported(now) || c.workersServing(now) == 0 && c.Serving(now) {
+	if c.anyUnreported(now) || c.workersServing(now) == 0 && c.Serving(now) {
 		return f, ""
 	}
 	if s.cores == 0 {
 		return Forecast{Class: j.class}, reasonNoWorker
 	}
 	first := &j.tasks[0]
-	need, tasks := firstTasks(j)
-	if tasks <= s.room(first, need, 0) {
+	need, tasks := initialTasks(j)
+	if tasks <= s.startable(first, need, 0) {
 		return f, ""
 	}
 	f = c.forecastNew(now, s, first)
-	if f.Wait() > f.Allowed && c.leftBehind(now, j, s.ours()) {
+	if f.Wait() > f.Allowed && c.underserved(now, j, s.evenShare()) {
 		j.class = 0
 		f = c.forecastNew(now, s, first)
 	}
-	if f.Wait() <= f.Allowed || c.makeWay(now, s, first, f) {
+	if f.Wait() <= f.Allowed || c.evictFor(now, s, first, f) {
 		return f, ""
 	}
 	return f, reasonTooLong
@@ -68,21 +68,21 @@
 
 // forecastNew returns how long a new job will wait whose first task is t.
 func (c *Core) forecastNew(now time.Time, s *supply, t *task) Forecast {
-	f := c.forecast(now, s, t, c.workBefore(t.job.sub.Queue.Service, t.virtualDeadline()))
-	f.Allowed = time.Duration(admitShare * float64(t.due.Sub(now)))
+	f := c.forecast(now, s, t, c.workAhead(t.job.sub.Queue.Service, t.virtualDeadline()))
+	f.Allowed = time.Duration(maxWaitShare * float64(t.due.Sub(now)))
 	return f
 }
 
-// makeWay refuses jobs of later classes that have not begun and come before the task, those of
+// evictFor refuses jobs of later classes that have not begun and come before the task, those of
 // the last class first and of these the last to come, if without them the task waits no longer than
 // it may. It returns whether it does.
-func (c *Core) makeWay(now time.Time, s *supply, t *task, f Forecast) bool {
+func (c *Core) evictFor(now time.Time, s *supply, t *task, f Forecast) bool {
 	if !c.cfg.Load.OrderByPriority || t.job.class == lastClass {
 		return false
 	}
 	excess := float64(f.Wait()-f.Allowed) * s.cores * s.scale
 	var give []*job
-	for _, j := range c.behind(t) {
+	for _, j := range c.evictable(t) {
 		if excess <= 0 {
 			break
 		}
@@ -98,14 +98,14 @@
 	return true
 }
 
-// behind returns the jobs of later classes that have not begun and come before the task, in the
+// evictable returns the jobs of later classes that have not begun and come before the task, in the
 // order in which they give way.
-func (c *Core) behind(t *task) []*job {
+func (c *Core) evictable(t *task) []*job {
 	var out []*job
 	turn := t.virtualDeadline()
 	for _, o := range c.readyOf(t.job.sub.Queue.Service).onTime.tasks {
 		j := o.job
-		if j.class > t.job.class && j.mayGiveWay() && o == j.firstReady() && !o.virtualDeadline().After(turn) {
+		if j.class > t.job.class && j.mayBeRefused() && o == j.firstReady() && !o.virtualDeadline().After(turn) {
 			out = append(out, j)
 		}
 	}
@@ -115,8 +115,8 @@
 	return out
 }
 
-// mayGiveWay returns whether the job may be refused now: it has not run, and its caller waits.
-func (j *job) mayGiveWay() bool { return j.sub.BestEffort && !j.begun() }
+// mayBeRefused returns whether the job may be refused now: it has not run, and its caller waits.
+func (j *job) mayBeRefused() bool { return j.sub.BestEffort && !j.begun() }
 
 // firstReady returns the job's first task that wants a worker, or nil.
 func (j *job) firstReady() *task {
@@ -137,9 +137,9 @@
 // heartbeat, unless the box is slow.
 const startupGrace = 1500 * time.Millisecond
 
-// someUnreported returns whether there are workers that may have room but have
+// anyUnreported returns whether there are workers that may have room but have
 // not said so yet.
-func (c *Core) someUnreported(now time.Time) bool {
+func (c *Core) anyUnreported(now time.Time) bool {
 	for _, w := range c.eligible {
 		if w.up && !w.status.Ready && now.Sub(w.upAt) < startupGrace {
 			return true
@@ -165,9 +165,9 @@
 	return c.servedAt.IsZero() || now.Sub(c.servedAt) < startupGrace
 }
 
-// firstTasks returns how many tasks could begin at once, and the most that one
+// initialTasks returns how many tasks could begin at once, and the most that one
 // of them takes.
-func firstTasks(j *job) (need durable.Resources, tasks int64) {
+func initialTasks(j *job) (need durable.Resources, tasks int64) {
 	for i := range j.sub.Steps {
 		if step := &j.sub.Steps[i]; len(step.DependsOn) == 0 {
 			need = need.Max(step.Need)
@@ -177,9 +177,9 @@
 	return need, tasks
 }
 
-// workBefore returns the work of the tasks that are on time and come first, in
+// workAhead returns the work of the tasks that are on time and come first, in
 // thousandths of a core times nanoseconds.
-func (c *Core) workBefore(service string, turn time.Time) float64 {
+func (c *Core) workAhead(service string, turn time.Time) float64 {
 	work := 0.0
 	for _, t := range c.readyOf(service).onTime.tasks {
 		if !t.virtualDeadline().After(turn) {
--- a/jobs/scheduler/besteffort.go
+++ b/jobs/scheduler/besteffort.go
@@ -39,7 +39,7 @@
 	}
 	c.noteAdmitted(now, j)
 	j.accepted = true
-	j.startBy = now.Add(startWithin(j, now, budget))
+	j.startBy = now.Add(startTimeout(j, now, budget))
 	j.calls = append(j.calls, call)
 	c.bestEffort[s.ID] = j
 	c.active++
--- a/jobs/scheduler/candidates.go
+++ b/jobs/scheduler/candidates.go
@@ -73,7 +73,7 @@
 	} else {
 		out = slices.Concat(c.eligible[at:], c.eligible[:at+maxCandidates-n])
 	}
-	for _, w := range c.asksOf(service).told {
+	for _, w := range c.requestsOf(service).reported {
 		if c.isEligible(w) && !slices.Contains(out, w) {
 			out = append(out, w)
 		}
--- a/jobs/scheduler/dispatch.go
+++ b/jobs/scheduler/dispatch.go
@@ -39,7 +39,7 @@
 	}
 	if c.cfg.Load.AskForRoom {
 		for _, service := range ordered.Keys(c.ready) {
-			c.askForRoom(now, service, c.ready[service], orders)
+			c.requestCapacity(now, service, c.ready[service], orders)
 		}
 	}
 }
@@ -55,12 +55,12 @@
 			passed = append(passed, t)
 			continue
 		}
-		f := c.fitOf(now, t, r)
+		f := c.evaluatorFor(now, t, r)
 		cand := c.choose(&f, r.workers)
 		switch {
 		case cand == nil:
 			passed = append(passed, t)
-		case len(held) < lookAhead && c.holdsOut(r, &f, cand):
+		case len(held) < lookAhead && c.shouldHold(r, &f, cand):
 			held = append(held, t)
 		default:
 			c.orderRun(now, epoch, &f, cand, orders)
@@ -88,7 +88,7 @@
 
 // orderRun adds a run of the task to the orders of the worker. One that is sent to a
 // worker with bad figures is its probe.
-func (c *Core) orderRun(now time.Time, epoch uint64, f *fit, cand *candidate, orders map[*worker]*wire.StartRuns) {
+func (c *Core) orderRun(now time.Time, epoch uint64, f *evaluator, cand *candidate, orders map[*worker]*wire.StartRuns) {
 	t, w := f.t, cand.w
 	cand.free = cand.free.Sub(t.step.Need)
 	if w.outlier {
--- a/jobs/scheduler/expected.go
+++ b/jobs/scheduler/expected.go
@@ -5,24 +5,23 @@
 	"time"
 )
 
-// fit is what a task asks of a place at one moment, worked out once for all candidates.
-// Times are in milliseconds.
-type fit struct {
-	t        *task
-	bySpeed  bool    // the expected end is reckoned with
-	estimate float64 // of a run near its data
-	remote   float64 // how many times as long a run takes away from its data; 1 if that makes no difference
-	left     float64 // until the step has to end for the job to be on time; negative when that is over
-	fast     float64 // how much fast workers are preferred where the task is in time: 1, or -1 for the slow
+// evaluator evaluates candidates for one task at one moment. Times are in milliseconds.
+type evaluator struct {
+	t            *task
+	bySpeed      bool    // the speed of the worker is taken into account
+	estimate     float64 // of a run in the rack of the task's data
+	remoteFactor float64 // how many times as long a run takes in another rack; 1 if that makes no difference
+	remaining    float64 // time until the step has to end for the job to be on time; may be negative
+	speedWeight  float64 // preference for fast workers where the task is in time: from 1 to -1, which prefers slow ones
 }
 
-// fitOf works out what the task asks of a place.
-func (c *Core) fitOf(now time.Time, t *task, r *round) fit {
-	f := fit{t: t, bySpeed: c.cfg.Load.PlaceBySpeed, estimate: float64(t.step.EstimateMS), remote: 1, fast: r.fast}
+// evaluatorFor returns the evaluator for the task.
+func (c *Core) evaluatorFor(now time.Time, t *task, r *round) evaluator {
+	f := evaluator{t: t, bySpeed: c.cfg.Load.PlaceBySpeed, estimate: float64(t.step.EstimateMS), remoteFactor: 1, speedWeight: r.speedWeight}
 	if f.bySpeed && t.step.Affinity != "" {
-		f.remote = max(1, c.cfg.Load.RemoteFactor)
+		f.remoteFactor = max(1, c.cfg.Load.RemoteFactor)
 	}
-	f.left = t.due.Sub(now).Seconds()*1000 + f.estimate
+	f.remaining = t.due.Sub(now).Seconds()*1000 + f.estimate
 	return f
 }
 
@@ -31,56 +30,56 @@
 	return t.step.Affinity != "" && slices.Contains(w.identity.Labels, t.step.Affinity)
 }
 
-// far returns whether a run takes longer there since its data is elsewhere.
-func (f *fit) far(w *worker) bool { return f.remote > 1 && !f.t.near(w) }
+// far returns whether a run takes longer on the worker because its data is in another rack.
+func (f *evaluator) far(w *worker) bool { return f.remoteFactor > 1 && !f.t.near(w) }
 
-// estimateAt returns the estimate of a run there: that of any worker of usual speed as far
-// from the data.
-func (f *fit) estimateAt(w *worker) float64 {
+// estimateAt returns the estimate of a run on the worker. It includes the distance from the data but
+// not the worker's own speed.
+func (f *evaluator) estimateAt(w *worker) float64 {
 	if f.far(w) {
-		return f.estimate * f.remote
+		return f.estimate * f.remoteFactor
 	}
 	return f.estimate
 }
 
-// expected returns how long a run is expected to take there.
-func (f *fit) expected(cand *candidate) float64 {
+// expected returns how long one run on the candidate is expected to take.
+func (f *evaluator) expected(cand *candidate) float64 {
 	if !f.bySpeed {
 		return f.estimate
 	}
 	return f.estimateAt(cand.w) * cand.factor
 }
 
-// takes returns how long the task is expected to take there: the share of runs that fail has
-// to begin anew.
-func (f *fit) takes(cand *candidate) float64 { return f.expected(cand) * (1 + cand.w.failing()) }
+// total returns how long the task is expected to take on the candidate, with the repetition of the
+// share of runs that fail there.
+func (f *evaluator) total(cand *candidate) float64 { return f.expected(cand) * (1 + cand.w.failing()) }
 
-// safeX is how many times what a task takes has to be left to it for the risk to be none:
-// runs scatter, and the longest of a job's tasks decides.
-const safeX = 1.25
+// safetyFactor times the expected total has to remain for a task to be at no risk: the times of runs
+// scatter, and the longest of a job's tasks decides when the job ends.
+const safetyFactor = 1.25
 
-// risk returns the risk that the task makes its job late there: none while safeX times what it
-// takes is left to it, 1 when it is late as expected.
-func (f *fit) risk(cand *candidate) float64 {
-	takes := f.takes(cand)
+// risk returns the risk that the task makes its job late on the candidate: 0 while safetyFactor
+// times the expected total remains, 1 when the task is expected to be late.
+func (f *evaluator) risk(cand *candidate) float64 {
+	total := f.total(cand)
 	switch {
-	case f.left >= safeX*takes:
+	case f.remaining >= safetyFactor*total:
 		return 0
-	case f.left <= takes:
+	case f.remaining <= total:
 		return 1
 	}
-	return (safeX - f.left/takes) / (safeX - 1)
+	return (safetyFactor - f.remaining/total) / (safetyFactor - 1)
 }
 
-// Reasons in the log for a run that is not where it would be best.
+// Reasons that the log gives for a run that was ordered on a worker which is not ideal for it.
 const (
-	reasonFar      = "far"       // away from its data, and in time
-	reasonLateFar  = "late_far"  // away from its data, and late as expected
-	reasonLateSlow = "late_slow" // on a slow worker, and late as expected
+	reasonFar      = "far"       // not in the rack of its data, and in time
+	reasonLateFar  = "late_far"  // not in the rack of its data, and expected to be late
+	reasonLateSlow = "late_slow" // on a slow worker, and expected to be late
 )
 
-// reason says for the log what is to be said against the place.
-func (f *fit) reason(cand *candidate) string {
+// reason returns the reason that the log gives for a run on the candidate; empty if there is none.
+func (f *evaluator) reason(cand *candidate) string {
 	late := f.bySpeed && f.risk(cand) >= 1
 	switch {
 	case late && f.far(cand.w):
--- a/jobs/scheduler/expected_test.go
+++ b/jobs/scheduler/expected_test.go
@@ -58,8 +58,8 @@
 		for _, slack := range slacks {
 			for _, affinity := range []string{"", rack} {
 				tk := taskOf(now, 760, affinity, slack)
-				for _, fast := range []float64{-1, 0, 1} {
-					f := c.fitOf(now, tk, &round{fast: fast})
+				for _, weight := range []float64{-1, 0, 1} {
+					f := c.evaluatorFor(now, tk, &round{speedWeight: weight})
 					for _, a := range places {
 						for _, b := range places {
 							checkChoice(t, c, &f, []candidate{a, b})
@@ -72,10 +72,10 @@
 }
 
 // checkChoice checks which of the places is chosen.
-func checkChoice(t *testing.T, c *Core, f *fit, places []candidate) {
+func checkChoice(t *testing.T, c *Core, f *evaluator, places []candidate) {
 	inTime, room := false, false
 	for i := range places {
-		if f.t.mayGo(&places[i]) {
+		if f.t.canStart(&places[i]) {
 			room = true
 			inTime = inTime || f.risk(&places[i]) == 0
 		}
@@ -101,17 +101,17 @@
 		slow := placeOf(rapid.SampledFrom([]float64{1, 1.6, 3}).Draw(t, "slow"), 16000, "r2")
 		r := &round{workers: append(rapid.SliceOfN(rapid.SampledFrom(full), 1, 8).Draw(t, "full"), slow)}
 		tk := taskOf(now, rapid.SampledFrom([]int64{51, 170, 760}).Draw(t, "estimate"), rapid.SampledFrom([]string{"", rack}).Draw(t, "affinity"), rapid.SampledFrom(slacks).Draw(t, "slack"))
-		f := c.fitOf(now, tk, r)
+		f := c.evaluatorFor(now, tk, r)
 		best := c.choose(&f, r.workers)
-		if best == nil || !c.holdsOut(r, &f, best) {
+		if best == nil || !c.shouldHold(r, &f, best) {
 			return
 		}
 		held++
-		if !now.Before(tk.due) || len(f.quickerPlaces(r.workers, best)) == 0 {
-			t.Fatalf("holds out with %v left, for %v places", tk.due.Sub(now), len(f.quickerPlaces(r.workers, best)))
+		if !now.Before(tk.due) || len(f.fasterWorkers(r.workers, best)) == 0 {
+			t.Fatalf("holds out with %v left, for %v places", tk.due.Sub(now), len(f.fasterWorkers(r.workers, best)))
 		}
 		const many = 10_000
-		for n := 0; c.holdsOut(r, &f, best); n++ {
+		for n := 0; c.shouldHold(r, &f, best); n++ {
 			if n == many {
 				t.Fatal("holds out without end")
 			}
@@ -142,7 +142,7 @@
 	} {
 		c := coreBySpeed(2)
 		c.cfg.Load.PlaceBySpeed = x.bySpeed
-		f := c.fitOf(now, tk, &round{})
+		f := c.evaluatorFor(now, tk, &round{})
 		if limit, estimate := c.limitOf(&f, &x.at), f.estimateAt(x.at.w); limit != x.limit || estimate != x.estimate {
 			t.Errorf("limit %v, estimate %v; want %v, %v", limit, estimate, x.limit, x.estimate)
 		}
@@ -193,15 +193,15 @@
 		{0.5, placeOf(1, 16000, "r2"), reasonLateFar},
 		{0.5, placeOf(1.6, 16000, rack), reasonLateSlow},
 	} {
-		f := c.fitOf(now, taskOf(now, 100, rack, x.slack), &round{})
+		f := c.evaluatorFor(now, taskOf(now, 100, rack, x.slack), &round{})
 		if got := f.reason(&x.at); got != x.want {
 			t.Errorf("%q in place of %q", got, x.want)
 		}
 	}
 	r := &round{workers: []candidate{placeOf(1, 0, rack), placeOf(1, 16000, "r2")}}
-	f := c.fitOf(now, taskOf(now, 100, rack, 0.5), r)
+	f := c.evaluatorFor(now, taskOf(now, 100, rack, 0.5), r)
 	for range 2 {
-		if !c.holdsOut(r, &f, &r.workers[1]) {
+		if !c.shouldHold(r, &f, &r.workers[1]) {
 			t.Fatal("goes far")
 		}
 	}
--- a/jobs/scheduler/forecast.go
+++ b/jobs/scheduler/forecast.go
@@ -14,16 +14,16 @@
 	age        time.Duration // of the oldest of those words
 	scale      float64       // workers that may be chosen, for each candidate
 	sharers    float64       // coordinators that share the workers, with this one
-	short      bool          // room is asked for: of free room only what is fresh is believed
+	short      bool          // room is asked for: of free room only what is fresh is freshFor
 }
 
 // supplyOf returns what the workers of the service give.
 func (c *Core) supplyOf(now time.Time, service string) *supply {
-	s := &supply{candidates: c.candidates(now, service), scale: 1, sharers: max(1, c.sharers[service]), short: c.asking(service)}
+	s := &supply{candidates: c.candidates(now, service), scale: 1, sharers: max(1, c.sharers[service]), short: c.requesting(service)}
 	for i := range s.candidates {
 		w := s.candidates[i].w
 		s.cores += c.coresOf(w)
-		if c.tellsWaiting(now, w) {
+		if c.reportsWaiting(now, w) {
 			s.fresh++
 			s.age = max(s.age, now.Sub(w.heardAt))
 		}
@@ -34,8 +34,8 @@
 	return s
 }
 
-// ours returns our even share of the cores, in thousandths.
-func (s *supply) ours() float64 { return s.cores * s.scale / s.sharers }
+// evenShare returns our even share of the cores, in thousandths.
+func (s *supply) evenShare() float64 { return s.cores * s.scale / s.sharers }
 
 // coresOf returns the worker's thousandths of a core, as many as servers of the usual speed
 // would need for the same.
@@ -47,21 +47,21 @@
 	return cores
 }
 
-// staleAfter is how many heartbeats old a word of what waits may be.
-const staleAfter = 2
+// staleHeartbeats is how many heartbeats old a word of what waits may be.
+const staleHeartbeats = 2
 
-// tellsWaiting returns whether it is known of late what waits at the worker for others.
-func (c *Core) tellsWaiting(now time.Time, w *worker) bool {
-	return c.cfg.Load.AdmitByAll && c.cfg.Load.AskForRoom && now.Sub(w.heardAt) <= staleAfter*c.cfg.Heartbeat
+// reportsWaiting returns whether it is known of late what waits at the worker for others.
+func (c *Core) reportsWaiting(now time.Time, w *worker) bool {
+	return c.cfg.Load.AdmitByAll && c.cfg.Load.AskForRoom && now.Sub(w.heardAt) <= staleHeartbeats*c.cfg.Heartbeat
 }
 
-// room returns how many of the tasks could begin at once, of which each takes need, with
+// startable returns how many of the tasks could begin at once, of which each takes need, with
 // taken thousandths of a core used by others before them.
-func (s *supply) room(t *task, need durable.Resources, taken float64) int64 {
+func (s *supply) startable(t *task, need durable.Resources, taken float64) int64 {
 	n := int64(0)
 	for i := range s.candidates {
 		cand := &s.candidates[i]
-		if s.short && !cand.fresh || !allowed(t, cand.w) {
+		if s.short && !cand.fresh || !allowedOn(t, cand.w) {
 			continue
 		}
 		n += need.Times(cand.free)
@@ -69,26 +69,26 @@
 	return n - int64(taken/float64(max(1, need.CPU)))
 }
 
-// others returns the work that waits elsewhere and has its turn before: what workers told, and
+// workElsewhere returns the work that waits elsewhere and has its turn before: what workers told, and
 // where that is not known, as much for each other coordinator as own, ours.
-func (c *Core) others(now time.Time, s *supply, turn time.Time, own float64) float64 {
+func (c *Core) workElsewhere(now time.Time, s *supply, turn time.Time, own float64) float64 {
 	told, stale := 0.0, len(s.candidates)-s.fresh
 	for i := range s.candidates {
 		w := s.candidates[i].w
-		if !c.tellsWaiting(now, w) {
+		if !c.reportsWaiting(now, w) {
 			continue
 		}
 		for k := range w.status.Waiting {
-			told += w.waitsBefore(k, turn)
+			told += w.waitingBefore(k, turn)
 		}
 	}
 	even := own * (s.sharers - 1) * float64(stale) / float64(max(1, len(s.candidates)))
 	return told*s.scale + even
 }
 
-// waitsBefore returns the work of the worker's k-th span that has its turn before, in thousandths
+// waitingBefore returns the work of the worker's k-th span that has its turn before, in thousandths
 // of a core times nanoseconds. Between the first and the last turn it is taken to be even.
-func (w *worker) waitsBefore(k int, turn time.Time) float64 {
+func (w *worker) waitingBefore(k int, turn time.Time) float64 {
 	span := &w.status.Waiting[k]
 	work := float64(span.Work) * float64(time.Millisecond)
 	first := w.heardAt.Add(time.Duration(span.FirstMS) * time.Millisecond)
@@ -125,12 +125,12 @@
 	f := Forecast{
 		Class:   t.job.class,
 		Own:     time.Duration(own / cores),
-		Others:  time.Duration(c.others(now, s, turn, own) / cores),
+		Others:  time.Duration(c.workElsewhere(now, s, turn, own) / cores),
 		Age:     s.age,
 		Unknown: len(s.candidates) - s.fresh,
 	}
 	if c.cfg.Load.AdmitByAll {
-		a := c.arrivalsBefore(now, t.job, turn, s.ours())
+		a := c.arrivalsBefore(now, t.job, turn, s.evenShare())
 		f.Later = min(time.Duration(float64(f.Own+f.Others)*a.share/(1-a.share)), a.most)
 	}
 	return f
--- a/jobs/scheduler/giveup.go
+++ b/jobs/scheduler/giveup.go
@@ -23,9 +23,9 @@
 	reasonAllEvacuated = "all_evacuated" // no data centre is left to start anything in
 )
 
-// startWithin returns how long a job may wait to begin: while its answer is still
+// startTimeout returns how long a job may wait to begin: while its answer is still
 // of use, and the caller has time to try again.
-func startWithin(j *job, now time.Time, budget time.Duration) time.Duration {
+func startTimeout(j *job, now time.Time, budget time.Duration) time.Duration {
 	useful := j.uselessAt.Sub(now) - j.longest
 	if budget > 0 {
 		useful = min(useful, time.Duration(giveUpShare*float64(budget)))
@@ -46,16 +46,16 @@
 			}
 		case !now.Before(j.startBy):
 			c.refuseUnstarted(now, j, reasonCallerTime, nil)
-		case serving && j.tooLateAt(now) && !c.couldBegin(now, supplies, j):
+		case serving && j.wouldBeLate(now) && !c.couldStart(now, supplies, j):
 			c.refuseUnstarted(now, j, reasonTooLate, nil)
 		}
 	}
 }
 
-// couldBegin returns whether there is room for all that could begin of the job, and of what
+// couldStart returns whether there is room for all that could begin of the job, and of what
 // comes before it: that it has not begun is a fault, which is noted. supplies are those that have
 // been looked at in this tick.
-func (c *Core) couldBegin(now time.Time, supplies map[string]*supply, j *job) bool {
+func (c *Core) couldStart(now time.Time, supplies map[string]*supply, j *job) bool {
 	t, service := j.firstReady(), j.sub.Queue.Service
 	if t == nil {
 		return false
@@ -63,23 +63,23 @@
 	if supplies[service] == nil {
 		supplies[service] = c.supplyOf(now, service)
 	}
-	return c.besideRoom(supplies[service], t, c.coresBefore(t))
+	return c.fitsNow(supplies[service], t, c.coresAhead(t))
 }
 
-// besideRoom returns, and notes, whether there is room for all that could begin of the task's
+// fitsNow returns, and notes, whether there is room for all that could begin of the task's
 // job, and for so many thousandths of a core before it.
-func (c *Core) besideRoom(s *supply, t *task, before float64) bool {
-	need, tasks := firstTasks(t.job)
-	if tasks > s.room(t, need, before) {
+func (c *Core) fitsNow(s *supply, t *task, before float64) bool {
+	need, tasks := initialTasks(t.job)
+	if tasks > s.startable(t, need, before) {
 		return false
 	}
 	c.note(Note{What: RefusalBesideRoom, Job: t.job.id, Measure: WaitingTasks, Value: tasks, Frequent: true})
 	return true
 }
 
-// coresBefore returns the thousandths of a core of what waits here before an overdue task, or
+// coresAhead returns the thousandths of a core of what waits here before an overdue task, or
 // beside it.
-func (c *Core) coresBefore(t *task) float64 {
+func (c *Core) coresAhead(t *task) float64 {
 	cores := 0.0
 	for _, o := range c.readyOf(t.job.sub.Queue.Service).onTime.tasks {
 		cores += float64(o.step.Need.CPU)
@@ -87,10 +87,10 @@
 	return cores
 }
 
-// tooLateAt returns whether a job that begins now will be late. While workers take
+// wouldBeLate returns whether a job that begins now will be late. While workers take
 // tasks there are others that can still be in time, and they get the room. While none does, a
 // late answer is the best that there is.
-func (j *job) tooLateAt(now time.Time) bool { return now.After(j.due.Add(-j.longest)) }
+func (j *job) wouldBeLate(now time.Time) bool { return now.After(j.due.Add(-j.longest)) }
 
 // review is when the queue of a service was last judged anew, and by what cores.
 type review struct {
@@ -100,32 +100,32 @@
 
 // The queue is judged anew when the cores have changed by this share, and after this time.
 const (
-	judgeChange = 0.05 // share of the cores
-	judgeEvery  = 100 * time.Millisecond
+	reviewChange   = 0.05 // share of the cores
+	reviewInterval = 100 * time.Millisecond
 )
 
 // reviewQueues refuses the jobs that have not begun and cannot begin in time any more, by what
 // comes before them, though their time is not over.
 func (c *Core) reviewQueues(now time.Time) {
-	if !c.cfg.Load.AdmitByAll || c.someUnreported(now) {
+	if !c.cfg.Load.AdmitByAll || c.anyUnreported(now) {
 		return
 	}
 	for _, service := range ordered.Keys(c.ready) {
-		cores := c.coresNow(now, service)
+		cores := c.availableCores(now, service)
 		last := c.reviews[service]
-		changed := math.Abs(cores-last.cores) > judgeChange*last.cores
-		if cores == 0 || !changed && now.Sub(last.at) < judgeEvery {
+		changed := math.Abs(cores-last.cores) > reviewChange*last.cores
+		if cores == 0 || !changed && now.Sub(last.at) < reviewInterval {
 			continue
 		}
 		c.reviews[service] = review{now, cores}
 		if c.readyOf(service).onTime.Len() > 0 {
-			c.judgeQueue(now, service)
+			c.reviewQueue(now, service)
 		}
 	}
 }
 
-// coresNow returns the cores of the workers that take tasks, at their speed, in thousandths.
-func (c *Core) coresNow(now time.Time, service string) float64 {
+// availableCores returns the cores of the workers that take tasks, at their speed, in thousandths.
+func (c *Core) availableCores(now time.Time, service string) float64 {
 	cores := 0.0
 	for _, w := range c.eligible {
 		if w.identity.Service == service && c.takesTasks(now, w) {
@@ -135,9 +135,9 @@
 	return cores
 }
 
-// judgeQueue goes through what waits in its order. Who waits for too much is refused, or has
+// reviewQueue goes through what waits in its order. Who waits for too much is refused, or has
 // jobs of later classes give way, and is nothing that the next wait for.
-func (c *Core) judgeQueue(now time.Time, service string) {
+func (c *Core) reviewQueue(now time.Time, service string) {
 	s := c.supplyOf(now, service)
 	if s.cores == 0 {
 		return
@@ -147,7 +147,7 @@
 		if t.position < 0 {
 			continue // refused
 		}
-		if t.job.mayGiveWay() && t == t.job.firstReady() && !c.inTime(now, s, t, work, cores) {
+		if t.job.mayBeRefused() && t == t.job.firstReady() && !c.keepOrRefuse(now, s, t, work, cores) {
 			continue
 		}
 		work += t.work()
@@ -155,14 +155,14 @@
 	}
 }
 
-// inTime returns whether a job that has not begun may go on waiting; it is refused otherwise.
-func (c *Core) inTime(now time.Time, s *supply, t *task, work, cores float64) bool {
+// keepOrRefuse returns whether a job that has not begun may go on waiting; it is refused otherwise.
+func (c *Core) keepOrRefuse(now time.Time, s *supply, t *task, work, cores float64) bool {
 	f := c.forecast(now, s, t, work)
 	f.Allowed = t.due.Sub(now)
 	if f.Wait() <= f.Allowed {
 		return true
 	}
-	if c.besideRoom(s, t, cores) {
+	if c.fitsNow(s, t, cores) {
 		return true
 	}
 	c.refuseUnstarted(now, t.job, reasonTooLong, &f)
--- a/jobs/scheduler/heap.go
+++ b/jobs/scheduler/heap.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// taskHeap is a heap of tasks in some order.
+// taskHeap is a heap of tasks in the order of before. It implements heap.Interface.
 type taskHeap struct {
 	tasks  []*task
 	before func(a, b *task) bool
@@ -15,14 +15,14 @@
 	q.tasks[i].position, q.tasks[k].position = i, k
 }
 
-// Push is called by container/heap.
+// Push appends a task; only container/heap calls it.
 func (q *taskHeap) Push(x any) {
 	t := x.(*task)
 	t.position = len(q.tasks)
 	q.tasks = append(q.tasks, t)
 }
 
-// Pop is called by container/heap.
+// Pop removes the last task; only container/heap calls it.
 func (q *taskHeap) Pop() any {
 	last := len(q.tasks) - 1
 	t := q.tasks[last]
--- a/jobs/scheduler/hold.go
+++ b/jobs/scheduler/hold.go
@@ -2,77 +2,78 @@
 
 import "math"
 
-// A task that would be late where there is room may hold out for a quicker place that is
-// full: near its data, or a faster worker. So room that is of no use to it is left to what
-// comes after it and is in time there.
+// A task that would be late on every worker with free capacity may be held for a faster worker that
+// is full: one in the rack of its data, or one of higher speed. Capacity that is of no use to it is
+// thereby left to later tasks that are in time there.
 const (
-	holdRisk  = 0.5 // the risk of being late that is worth a wait; no more at the quicker place
-	quicker   = 0.8 // of what it takes where there is room: less is worth a wait
-	holdShare = 0.5 // of the slack that it has at the quicker places: the most that it may wait
+	holdRisk     = 0.5 // a task at more risk of being late is held; a faster worker is one where it is at no more
+	fasterFactor = 0.8 // the expected total on a faster worker is at most this share of that on the best free one
+	holdShare    = 0.5 // share of the task's slack on the faster workers that it may be held
 )
 
-// holdsOut returns whether the task waits for a quicker place although the best of those
-// with room would take it.
-func (c *Core) holdsOut(r *round, f *fit, best *candidate) bool {
+// shouldHold returns whether the task waits for a faster worker although best, the best candidate
+// with free capacity, could start it.
+func (c *Core) shouldHold(r *round, f *evaluator, best *candidate) bool {
 	if !f.bySpeed || f.risk(best) <= holdRisk {
 		return false
 	}
-	places := f.quickerPlaces(r.workers, best)
-	if len(places) == 0 {
+	faster := f.fasterWorkers(r.workers, best)
+	if len(faster) == 0 {
 		return false
 	}
-	takes := f.quickest(places)
-	work := float64(f.t.step.Need.CPU) * takes
-	wait := c.waitFor(f.t, places, work)
-	allowed := holdShare * (f.left - max(takes, f.estimate))
+	total := f.leastTotal(faster)
+	work := float64(f.t.step.Need.CPU) * total
+	wait := c.holdWait(f.t, faster, work)
+	allowed := holdShare * (f.remaining - max(total, f.estimate))
 	if wait > allowed {
 		return false
 	}
-	for _, cand := range places {
-		cand.heldFor += work / float64(len(places))
+	for _, cand := range faster {
+		cand.heldFor += work / float64(len(faster))
 	}
 	c.noteHeld(f.t, wait, allowed)
 	return true
 }
 
-// quickest returns the least that the task takes at one of the places.
-func (f *fit) quickest(places []*candidate) float64 {
+// leastTotal returns the least expected total of the task on any of the candidates.
+func (f *evaluator) leastTotal(candidates []*candidate) float64 {
 	least := math.Inf(1)
-	for _, cand := range places {
-		least = min(least, f.takes(cand))
+	for _, cand := range candidates {
+		least = min(least, f.total(cand))
 	}
 	return least
 }
 
-// waitFor returns how long the task waits for the places, in milliseconds: what holds out for
-// them already, and its own work, over our share of their capacity.
-func (c *Core) waitFor(t *task, places []*candidate, work float64) float64 {
+// holdWait returns how long the task is expected to wait for the candidates, in milliseconds: the
+// work that is already held for them, and the task's own work, divided by this coordinator's share
+// of their capacity.
+func (c *Core) holdWait(t *task, candidates []*candidate, work float64) float64 {
 	capacity := 0.0
-	for _, cand := range places {
+	for _, cand := range candidates {
 		work += cand.heldFor
 		capacity += float64(cand.w.identity.Capacity.CPU)
 	}
 	return work * max(1, c.sharers[t.job.sub.Queue.Service]) / capacity
 }
 
-// quickerPlaces returns the workers without room for the task that may take it, and where it
-// ends clearly sooner than at the best with room, and in time.
-func (f *fit) quickerPlaces(workers []candidate, best *candidate) []*candidate {
-	var places []*candidate
-	most := quicker * f.takes(best)
+// fasterWorkers returns the candidates that may run the task, have no free capacity for it now, and
+// where it is expected to end clearly sooner than on best, and in time.
+func (f *evaluator) fasterWorkers(workers []candidate, best *candidate) []*candidate {
+	var faster []*candidate
+	most := fasterFactor * f.total(best)
 	for i := range workers {
 		cand := &workers[i]
-		if f.takes(cand) > most || f.risk(cand) > holdRisk || f.t.avoids(cand.w) {
+		if f.total(cand) > most || f.risk(cand) > holdRisk || f.t.avoids(cand.w) {
 			continue
 		}
-		if f.t.suits(cand) && !f.t.step.Need.Fits(cand.free) && f.t.step.Need.Fits(cand.w.identity.Capacity) {
-			places = append(places, cand)
+		if f.t.compatible(cand) && !f.t.step.Need.Fits(cand.free) && f.t.step.Need.Fits(cand.w.identity.Capacity) {
+			faster = append(faster, cand)
 		}
 	}
-	return places
+	return faster
 }
 
-// noteHeld says once for each task that it holds out.
+// noteHeld logs that the task is held, once for each task.
 func (c *Core) noteHeld(t *task, wait, allowed float64) {
 	if t.holdNoted {
 		return
--- a/jobs/scheduler/loadpolicy.go
+++ b/jobs/scheduler/loadpolicy.go
@@ -1,11 +1,11 @@
 package scheduler
 
-// LoadPolicy holds the settings of what a coordinator does when not all that is asked for fits, or
-// servers are not alike. Each part can be switched off.
+// LoadPolicy holds the settings for what a coordinator does when the free capacity does not suffice
+// for all tasks, or when backend servers differ in speed. Each part can be switched off.
 type LoadPolicy struct {
-	PlaceBySpeed    bool    // tasks are placed, limited and judged by the usual speed of servers
-	AskForRoom      bool    // workers share out room by the order of all that waits
-	AdmitByAll      bool    // jobs are judged by what waits at all coordinators that ask for room
-	OrderByPriority bool    // each priority comes before the later ones, and not the first alone
-	RemoteFactor    float64 // how many times as long a task takes away from its data; 1 at least
+	PlaceBySpeed    bool    // placement, run limits and outlier detection take the usual speed of a server into account
+	AskForRoom      bool    // coordinators request capacity, and workers grant it in the order of all tasks that wait
+	AdmitByAll      bool    // admission counts the work that waits at all coordinators which request capacity
+	OrderByPriority bool    // each priority precedes the later ones; otherwise only the first precedes all others
+	RemoteFactor    float64 // how many times as long a task takes outside the rack of its data; at least 1
 }
--- a/jobs/scheduler/order.go
+++ b/jobs/scheduler/order.go
@@ -2,15 +2,18 @@
 
 import "time"
 
-// classStep is how much later than it came a job is taken for in the order of the queue, for
-// each class before its own. 300 ms is as long as a job of 900 ms may be thought to wait.
-const classStep = 300 * time.Millisecond
+// Tasks that are on time are ordered by their virtual deadline, the earliest first. It is only a
+// sort key: nothing ends when it passes.
 
-// lastClass is the class of all queues of this priority and of later ones, so that no job is
-// held up by more than lastClass times classStep of arrivals.
+// delayPerClass is added to the virtual deadlines of a job for each class that is more urgent than
+// its own. A job may be expected to wait for up to half of its slack: 300 ms for a job of 900 ms.
+const delayPerClass = 300 * time.Millisecond
+
+// lastClass is the class of all queues with this priority or a later one. It bounds the delay of a
+// job to lastClass times delayPerClass.
 const lastClass = 3
 
-// Classes is how many classes there are.
+// Classes is the number of classes.
 const Classes = lastClass + 1
 
 // class returns the class of a queue with the priority; 0 is the most urgent.
@@ -22,26 +25,27 @@
 	return int(min(max(priority, 0), last))
 }
 
-// virtualDeadline is the order of the tasks that are on time, at all coordinators and workers: what is
-// left of jobs that have begun first, in the order in which they came, then by the time halfway
-// to the due time, so that tight jobs go before loose ones of the same moment. In both parts each
-// class is put off against those before it.
+// virtualDeadline returns the time by which tasks that are on time are ordered, at all coordinators
+// and workers; the earliest goes first. Tasks of jobs that have begun precede all others, in the
+// order in which their jobs were received. For the rest it is halfway between the job's receipt and
+// the task's due time, so that of two jobs received together the one with less slack goes first.
+// In both groups the delay of the job's class is added.
 func (t *task) virtualDeadline() time.Time {
 	if t.job.begun() {
-		return t.job.received.Add(t.job.delay() - begunFirst)
+		return t.job.received.Add(t.job.delay() - begunLead)
 	}
 	return t.job.received.Add(t.due.Sub(t.job.received)/2 + t.job.delay())
 }
 
-// delay is by how much the job's class puts its turns off.
-func (j *job) delay() time.Duration { return time.Duration(j.class) * classStep }
+// delay returns how much the job's class adds to the virtual deadlines of its tasks.
+func (j *job) delay() time.Duration { return time.Duration(j.class) * delayPerClass }
 
-// begunFirst is taken off the turn of what is left of jobs that have begun; it
-// is more than any task waits, so that they come before all others.
-const begunFirst = time.Hour
+// begunLead is subtracted from the virtual deadlines of jobs that have begun. It is longer than
+// any task waits, so that these jobs precede all others.
+const begunLead = time.Hour
 
-// isOverdue returns whether the task should only have what room others leave. A
-// job that has begun is finished as long as its answer is of use.
+// isOverdue returns whether the task gets only the capacity that tasks on time leave free. The
+// tasks of a job that has begun are overdue only once the job's answer is of no use.
 func (t *task) isOverdue(now time.Time) bool {
 	if t.job.begun() {
 		return now.After(t.job.uselessAt)
--- a/jobs/scheduler/outliers.go
+++ b/jobs/scheduler/outliers.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Bounds of outlier detection, in the percent of WorkerStatus.
+// Limits of outlier detection. Slowness and failures are in percent, as in wire.WorkerStatus.
 const (
-	sound            = 100         // slowness of a worker of which nothing is known
-	outlierSlowness  = 2           // times what is usual there, and the median of its peers
-	restoredSlowness = 1.6         // the same, of a worker that is an outlier
-	outlierTime      = 2.2         // times the median of its peers, where servers are taken to be alike
-	outlierFailing   = 35          // share of runs that failed
-	probeEvery       = time.Second // an outlier gets one task so often, of all coordinators together
+	usualSlowness    = 100         // slowness of a worker that has reported none
+	outlierSlowness  = 2           // a worker at so many times its usual slowness and its peers' median becomes an outlier
+	restoredSlowness = 1.6         // an outlier below this is restored; in the units of outlierSlowness
+	outlierTime      = 2.2         // replaces both, times the peers' median, where all servers are taken to be equally fast
+	outlierFailing   = 35          // a worker with this share of failed runs is an outlier
+	probeEvery       = time.Second // interval of the tasks that an outlier gets from all coordinators together
 )
 
-// slowness returns what the worker says of the time of its latest runs, in percent of what is
-// usual there; of their estimates where servers are taken to be alike.
+// slowness returns how long the worker's latest runs take, in percent of what is usual on that
+// worker; in percent of their estimates where all servers are taken to be equally fast.
 func (w *worker) slowness() float64 {
 	slowness := float64(w.status.Slowness)
 	if w.status.Slowness == 0 {
-		slowness = sound
+		slowness = usualSlowness
 	}
 	if w.speedIgnored && w.status.TimeFactor != 0 {
 		slowness *= float64(w.status.TimeFactor) / 100
@@ -25,24 +25,24 @@
 	return slowness
 }
 
-// slownessBound returns from which slowness on the worker is an outlier, by the median of its
-// peers. One that is an outlier has to come well below, so that one quick probe does not
-// restore it. Peers that are faster than usual make nobody slow.
+// slownessBound returns the slowness from which on the worker is an outlier, given the median of its
+// peers. An outlier has to fall well below the first bound, so that one quick probe does not restore
+// it. Peers that are faster than usual don't lower the bound.
 func (w *worker) slownessBound(median float64) float64 {
 	switch {
 	case w.speedIgnored:
 		return outlierTime * median
 	case w.outlier:
-		return restoredSlowness * max(sound, median)
+		return restoredSlowness * max(usualSlowness, median)
 	}
-	return outlierSlowness * max(sound, median)
+	return outlierSlowness * max(usualSlowness, median)
 }
 
 // failing returns the share of the worker's latest runs that failed.
 func (w *worker) failing() float64 { return float64(w.status.Failing) / 100 }
 
-// detectOutlier notes whether the worker is an outlier: its runs take far longer than usual
-// there, and its peers' do not, or they fail too often.
+// detectOutlier updates whether the worker is an outlier, and logs a change. An outlier's runs take
+// far longer than is usual there while those of its peers do not, or too many of them fail.
 func (c *Core) detectOutlier(now time.Time, w *worker, median float64) {
 	bound := w.slownessBound(median)
 	outlier := w.slowness() >= bound || w.status.Failing >= outlierFailing
@@ -63,9 +63,9 @@
 	c.note(n)
 }
 
-// probeGap returns the time between two probes of an outlier by this coordinator. All that
-// share the worker probe it, each so much less often: a probe is a caller's task, and late
-// if the worker has not recovered.
+// probeGap returns the time between two probes of an outlier by this coordinator. All coordinators
+// that share the worker probe it, each proportionally less often: a probe is a caller's task, and is
+// late if the worker has not recovered.
 func (c *Core) probeGap(w *worker) time.Duration {
 	return time.Duration(float64(probeEvery) * max(1, c.sharers[w.identity.Service]))
 }
--- a/jobs/scheduler/placement.go
+++ b/jobs/scheduler/placement.go
@@ -2,46 +2,48 @@
 
 import "slices"
 
-// Who goes where, and why. Tasks are placed one after the other, in the order of the queue
-// (task.turn). For each:
+// Placement decides which worker runs which task. Tasks are placed one at a time, in the order of
+// the queue (task.virtualDeadline). For each task:
 //
-//  1. mayGo: where it may run at all, and there is room now.
-//  2. worth: of these places that with the greatest worth. It is first of all one that
-//     brings the job in time by the expected end there (fit.risk); then, traded against each
-//     other, the rack of its data, a preferred worker, few failures, speed, free room, chance.
-//  3. holdsOut: if it would be late even there, and quicker places are full that will have
-//     room in time, it waits for these.
+//  1. canStart selects the workers that may run it and have free capacity for it now.
+//  2. score ranks them. First of all it prefers workers where the task is expected to end in time
+//     (evaluator.risk). Then it trades off the rack of the task's data, the worker's preference,
+//     failed runs, speed, free capacity and a random term.
+//  3. shouldHold keeps the task waiting if it would be late even on the best of them, and faster
+//     workers that are full are expected to have capacity in time.
 //
-// A task for which there is no place waits here and not at a worker, where it would wait for
-// the ends of that one alone.
+// A task that no worker can start waits at the coordinator. At a worker it could only use capacity
+// that becomes free on that worker.
 
-// choose returns the worker that the task goes to, or nil. It is the one with the
-// greatest worth among those where the task may go.
-func (c *Core) choose(f *fit, workers []candidate) *candidate {
+// choose returns the candidate with the highest score among those that can start the task, or nil.
+// A task that a worker has handed back goes only to workers whose status is fresh, while
+// coordinators request capacity.
+func (c *Core) choose(f *evaluator, workers []candidate) *candidate {
 	var best *candidate
-	bestWorth := 0.0
+	bestScore := 0.0
 	for i := range workers {
 		cand := &workers[i]
-		if !f.t.mayGo(cand) || c.cfg.Load.AskForRoom && f.t.rejected && !cand.fresh {
+		if !f.t.canStart(cand) || c.cfg.Load.AskForRoom && f.t.rejected && !cand.fresh {
 			continue
 		}
-		if worth := c.worth(f, cand); best == nil || worth > bestWorth {
-			best, bestWorth = cand, worth
+		if score := c.score(f, cand); best == nil || score > bestScore {
+			best, bestScore = cand, score
 		}
 	}
 	return best
 }
 
-// mayGo returns whether the task may be sent to the worker now: it suits, and there is room.
-func (t *task) mayGo(cand *candidate) bool {
-	return t.step.Need.Fits(cand.free) && t.suits(cand)
+// canStart returns whether the task may be sent to the candidate now: it is compatible and has
+// enough free capacity.
+func (t *task) canStart(cand *candidate) bool {
+	return t.step.Need.Fits(cand.free) && t.compatible(cand)
 }
 
-// suits returns whether the task may be sent to the worker once there is room: the step's
-// constraints allow it, the worker is no outlier, and for a kept job the store has
-// confirmed, since the worker's connection was made, that we own it.
-func (t *task) suits(cand *candidate) bool {
-	return (cand.w.confirmed || t.job.sub.BestEffort) && cand.w.identity.Capacity.CPU > 0 && !cand.ejected && allowed(t, cand.w)
+// compatible returns whether the task may be sent to the candidate once that has capacity: the
+// step's constraints allow it, the worker is not ejected as an outlier, and for a kept job the store
+// has confirmed, since the worker connected, that this coordinator owns the job.
+func (t *task) compatible(cand *candidate) bool {
+	return (cand.w.confirmed || t.job.sub.BestEffort) && cand.w.identity.Capacity.CPU > 0 && !cand.ejected && allowedOn(t, cand.w)
 }
 
 // share returns the share of the worker's cores that is free; it may be negative.
@@ -49,68 +51,68 @@
 	return float64(cand.free.CPU) / float64(cand.w.identity.Capacity.CPU)
 }
 
-// The worth of sending a task to a worker, in shares of the worker's cores that
-// are free: each weight says how much more free room elsewhere would outweigh it.
-// They are no plain order of preference. worthAvoided is so large that nothing but
-// worthFailingAgain outweighs it, and worthLate outweighs rack, preference, data centre and
-// room together; the others are traded against room.
+// The weights of the score. Their unit is the share of the worker's cores that is free: a weight
+// says how much more free capacity on another worker outweighs it. The score is a sum and not a
+// strict order of preference. weightAvoided is so large that only weightFailingAgain can outweigh
+// it, and weightLate outweighs rack, preference, data centre and free capacity together; the others
+// are traded off against free capacity.
 const (
-	worthAvoided      = 10.0 // taken away where a run of the task failed or straggled
-	worthSuspects     = 4.0  // taken away from a task with crashes where another such is: the next crash shall tell whose fault it is
-	worthLate         = 4.0  // taken away, times the risk that the job is late by it
-	worthRack         = 2.0  // near the task's data
-	worthFast         = 1.0  // taken away, times what runs there take beyond their estimates
-	worthPreferred    = 0.6  // a preferred worker: we know best what is free there
-	worthDataCentre   = 0.02 // in our own data centre
-	worthFailing      = 1.0  // taken away, times the share of runs that failed there lately
-	worthFailingAgain = 8.0  // the same, for a task that has failed before
-	maxJitter         = 0.08 // left to chance, so that coordinators do not all choose the same
+	weightAvoided      = 10.0 // subtracted on a worker where a run of the task failed or straggled
+	weightSuspects     = 4.0  // subtracted for a task with crashes beside another such task: the next crash has to show which of them causes it
+	weightLate         = 4.0  // subtracted, times the risk that the task makes its job late there
+	weightRack         = 2.0  // added in the rack of the task's data
+	weightSpeed        = 1.0  // subtracted, times the share by which runs there exceed their estimates
+	weightPreferred    = 0.6  // added on a preferred worker: what this coordinator knows of its free capacity is the most accurate
+	weightDataCentre   = 0.02 // added in the coordinator's own data centre
+	weightFailing      = 1.0  // subtracted, times the share of the latest runs there that failed
+	weightFailingAgain = 8.0  // replaces weightFailing for a task that has failed before
+	maxJitter          = 0.08 // upper bound of a random term, so that coordinators do not all choose the same worker
 )
 
-// worth returns how much the worker is preferred for the task.
-func (c *Core) worth(f *fit, cand *candidate) float64 {
+// score returns how well the candidate suits the task; the highest score is chosen.
+func (c *Core) score(f *evaluator, cand *candidate) float64 {
 	t, w := f.t, cand.w
-	worth := 0.0
+	score := 0.0
 	if t.avoids(w) {
-		worth -= worthAvoided
+		score -= weightAvoided
 	}
 	if len(t.crashes) > 0 && w.hasSuspect() {
-		worth -= worthSuspects
+		score -= weightSuspects
 	}
 	if f.bySpeed {
-		worth -= f.slowness(cand)
+		score -= f.slownessPenalty(cand)
 	}
 	if w.preference == Preferred {
-		worth += worthPreferred
+		score += weightPreferred
 	}
 	if len(t.failures) > 0 {
-		worth -= worthFailingAgain * w.failing()
+		score -= weightFailingAgain * w.failing()
 	} else {
-		worth -= worthFailing * w.failing()
+		score -= weightFailing * w.failing()
 	}
 	if w.dataCentre == c.cfg.DataCentre {
-		worth += worthDataCentre
+		score += weightDataCentre
 	}
 	if t.near(w) {
-		worth += worthRack
+		score += weightRack
 	}
-	return worth + cand.share() + cand.jitter
+	return score + cand.share() + cand.jitter
 }
 
-// slowness returns what is taken away for the time that the task takes there. Where it is
-// surely in time the room decides whether the fast are preferred or left to others; where it
-// is not, the faster the better.
-func (f *fit) slowness(cand *candidate) float64 {
-	beyond := worthFast * (cand.factor - 1)
+// slownessPenalty returns what is subtracted for the time that the task takes on the candidate.
+// Where it is certain to be in time, the free capacity of all workers decides whether fast workers
+// are preferred or left to other tasks (speedPreference). Where it is not, faster is better.
+func (f *evaluator) slownessPenalty(cand *candidate) float64 {
+	beyond := weightSpeed * (cand.factor - 1)
 	if risk := f.risk(cand); risk > 0 {
-		return worthLate*risk + beyond
+		return weightLate*risk + beyond
 	}
-	return f.fast * beyond
+	return f.speedWeight * beyond
 }
 
-// allowed returns whether the step's constraints let the task run there: the
-// label that it requires, and the bound on tasks of the step at one worker.
-func allowed(t *task, w *worker) bool {
+// allowedOn returns whether the step's constraints allow the task on the worker: the label that the
+// step requires, and its limit on the number of its tasks on one worker.
+func allowedOn(t *task, w *worker) bool {
 	if t.step.Requires != "" && !slices.Contains(w.identity.Labels, t.step.Requires) {
 		return false
 	}
--- a/jobs/scheduler/preference.go
+++ b/jobs/scheduler/preference.go
@@ -5,13 +5,12 @@
 
 // The preferences.
 const (
-	Neutral   Preference = iota // as other coordinators may: where there is more room
-	Preferred                   // first of all: others prefer other workers, so that we know best what is free there
-	Excluded                    // none; what it has goes on
+	Neutral   Preference = iota // the worker gets tasks by its score, from any coordinator
+	Preferred                   // tasks go here first; other coordinators prefer other workers, so this one knows best what is free
+	Excluded                    // the worker gets no new tasks; its runs continue
 )
 
-// SetPreference tells the core of its preference for a worker, which is Shared at
-// first.
+// SetPreference sets the preference for a worker, which is Neutral at first.
 func (c *Core) SetPreference(name string, p Preference) {
 	w := c.workers[name]
 	if w == nil || w.preference == p {
--- a/jobs/scheduler/round.go
+++ b/jobs/scheduler/round.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// round is one look for places, of all ready tasks of a service.
+// round holds the candidates for all ready tasks of a service in one pass of dispatch.
 type round struct {
-	workers []candidate
-	fast    float64 // how much fast workers are preferred: 1, or -1 for the slow
+	workers     []candidate
+	speedWeight float64 // preference for fast workers: from 1 to -1, which prefers slow ones
 }
 
 func (c *Core) newRound(now time.Time, service string) *round {
 	workers := c.candidates(now, service)
-	return &round{workers: workers, fast: preferFast(workers)}
+	return &round{workers: workers, speedWeight: speedPreference(workers)}
 }
 
-// While more than ampleRoom of the cores is free everybody gets the fastest; while less than
-// scarceRoom is, what is surely in time on slow workers leaves the fast to what is tight.
-// Between them the preference turns by and by.
+// While more than ampleFree of the cores is free, every task prefers fast workers. While less than
+// scarceFree is free, tasks that are certain to be in time on slow workers prefer those, and leave
+// the fast ones to tasks with little slack. In between, the preference changes linearly.
 const (
-	ampleRoom  = 0.3 // share of all cores
-	scarceRoom = 0.1 // the same
+	ampleFree  = 0.3 // share of all cores
+	scarceFree = 0.1 // share of all cores
 )
 
-// preferFast returns how much fast workers are preferred, by the room that there is.
-func preferFast(workers []candidate) float64 {
+// speedPreference returns the weight of the preference for fast workers, from -1 to 1, by the share
+// of the cores that is free.
+func speedPreference(workers []candidate) float64 {
 	var free, capacity int64
 	for i := range workers {
 		if workers[i].ejected {
@@ -35,5 +36,5 @@
 		return 0
 	}
 	share := float64(free) / float64(capacity)
-	return min(1, max(-1, 2*(share-scarceRoom)/(ampleRoom-scarceRoom)-1))
+	return min(1, max(-1, 2*(share-scarceFree)/(ampleFree-scarceFree)-1))
 }
--- a/jobs/scheduler/score_test.go
+++ b/jobs/scheduler/score_test.go
@@ -10,10 +10,10 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// TestWorthIsNoOrder shows why the worth of a placement is a sum: a strict order of
+// TestScoreIsNoStrictOrder shows why the worth of a placement is a sum: a strict order of
 // preference by the same inputs, most important first, chooses another worker in
 // some cases, so that writing one would change what the scheduler does.
-func TestWorthIsNoOrder(t *testing.T) {
+func TestScoreIsNoStrictOrder(t *testing.T) {
 	const pairs = 1_000_000
 	r := rand.New(rand.NewPCG(20261202, 1))
 	c := New(Settings{DataCentre: "nadi"}, 1)
@@ -21,11 +21,11 @@
 	for range pairs {
 		tk := randomTask(r)
 		a, b := randomCandidate(r), randomCandidate(r)
-		if !tk.mayGo(&a) || !tk.mayGo(&b) {
+		if !tk.canStart(&a) || !tk.canStart(&b) {
 			continue
 		}
-		f := c.fitOf(time.Time{}, tk, &round{})
-		if (c.worth(&f, &a) > c.worth(&f, &b)) != (byOrder(c, tk, &a, &b) > 0) {
+		f := c.evaluatorFor(time.Time{}, tk, &round{})
+		if (c.score(&f, &a) > c.score(&f, &b)) != (byOrder(c, tk, &a, &b) > 0) {
 			others++
 		}
 	}
--- a/jobs/scheduler/silences.go
+++ b/jobs/scheduler/silences.go
@@ -14,8 +14,8 @@
 // does not end one server more with each second of not knowing. An innocent task is held
 // up so long at the most.
 const (
-	silencesToWait = 2                       // servers; after one the task goes on at once
-	silenceWait    = 2500 * time.Millisecond // less than the 3 s for which the users let a job stand still
+	minSilences = 2                       // servers; after one the task goes on at once
+	silenceWait = 2500 * time.Millisecond // less than the 3 s for which the users let a job stand still
 )
 
 // silence is a life of a backend server that fell silent under a run.
@@ -50,7 +50,7 @@
 // suspended returns whether the task waits for news of servers that fell silent under it.
 func (t *task) suspended(now time.Time) bool {
 	t.silences = slices.DeleteFunc(t.silences, func(s silence) bool { return now.Sub(s.at) >= silenceWait })
-	return len(t.silences) > 0 && len(t.silences)+len(t.crashes) >= silencesToWait
+	return len(t.silences) > 0 && len(t.silences)+len(t.crashes) >= minSilences
 }
 
 // resumeTasks lets the tasks go on whose wait is over.
--- a/jobs/scheduler/speed.go
+++ b/jobs/scheduler/speed.go
@@ -1,13 +1,14 @@
 package scheduler
 
-// knownSpeed is what a worker last said of the usual speed of one life of its backend server.
+// knownSpeed is the time factor that a worker last reported for one incarnation of its backend
+// server.
 type knownSpeed struct {
-	instance string // the life
+	instance string // the incarnation
 	factor   uint32 // usual time of runs over their estimates, in percent; 0 if not known
 }
 
-// timeFactor returns how many times as long as their estimates runs usually take at the
-// worker; 1 while that is not known, or where servers are taken to be alike.
+// timeFactor returns how many times their estimates runs usually take on the worker; 1 while that is
+// not known, or where all servers are taken to be equally fast.
 func (w *worker) timeFactor() float64 {
 	percent := w.timeFactorPercent()
 	if percent == 0 || w.speedIgnored {
@@ -16,9 +17,9 @@
 	return float64(percent) / 100
 }
 
-// timeFactorPercent returns the time factor in percent, 0 if it is not known: the worker's word, or
-// what was last heard of the same life while a worker process that has begun anew does not
-// know it again.
+// timeFactorPercent returns the time factor in percent, 0 if it is not known. A worker process that
+// has restarted reports none until it has measured runs again; until then the last factor of the
+// same incarnation of its backend server holds.
 func (w *worker) timeFactorPercent() uint32 {
 	if w.status.TimeFactor == 0 && w.speed.instance == w.identity.Instance {
 		return w.speed.factor
@@ -26,7 +27,7 @@
 	return w.status.TimeFactor
 }
 
-// rememberSpeed keeps what the worker says of the life that it speaks of.
+// rememberSpeed stores the reported time factor with the incarnation that it belongs to.
 func (w *worker) rememberSpeed() {
 	if w.status.TimeFactor != 0 {
 		w.speed = knownSpeed{w.identity.Instance, w.status.TimeFactor}
--- a/jobs/scheduler/stragglers.go
+++ b/jobs/scheduler/stragglers.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// maxDoublings bounds how often a task's limit doubles.
+// maxDoublings bounds how often the limit of a task's runs doubles.
 const maxDoublings = 6
 
-// limitOf returns how long a run of the task may take at the worker before that stops it
-// as a straggler; 0 sets no limit. It goes by what a run is expected to take there, and
-// doubles with each run that was stopped, in case the estimate is wrong and not the worker.
-func (c *Core) limitOf(f *fit, cand *candidate) time.Duration {
+// limitOf returns how long a run of the task may take on the candidate before the worker stops it
+// as a straggler; 0 sets no limit. The limit follows the time that the run is expected to take
+// there. It doubles with each run that was stopped, in case the estimate is wrong and not the worker
+// slow.
+func (c *Core) limitOf(f *evaluator, cand *candidate) time.Duration {
 	if f.estimate <= 0 {
 		return 0
 	}
--- a/jobs/scheduler/waits.go
+++ b/jobs/scheduler/waits.go
@@ -10,8 +10,8 @@
 )
 
 // wait is what waits for room of one priority, of the tasks that ask for about the same.
-type wait struct {
-	waitKey
+type waitingGroup struct {
+	groupKey
 	first    *task
 	from, to time.Time         // turns of the first and the last task
 	need     durable.Resources // the most that one of them takes
@@ -20,10 +20,10 @@
 	asked    int     // how many workers are asked
 }
 
-// waitKey is what the tasks of a wait have in common. Those of jobs that have begun stand
+// groupKey is what the tasks of a wait have in common. Those of jobs that have begun stand
 // apart, since their turns are far from the others'; so do those of other sizes, since room
 // for small ones may be where there is none for large ones.
-type waitKey struct {
+type groupKey struct {
 	priority int32
 	requires string // label
 	begun    bool
@@ -31,42 +31,42 @@
 	size     int
 }
 
-// sizeOf returns the size of a need of processor time, in steps of half a power of two.
-func sizeOf(milliCPU int64) int {
+// sizeClass returns the size of a need of processor time, in steps of half a power of two.
+func sizeClass(milliCPU int64) int {
 	n := bits.Len64(uint64(max(1, milliCPU)))
 	return 2*n + int(milliCPU>>max(0, n-2)&1)
 }
 
-// waitsOf returns what of the queue could be ordered with more room, first come first:
+// groupsOf returns what of the queue could be ordered with more room, first come first:
 // overdue tasks while no others are left, as in dispatch.
-func (c *Core) waitsOf(q *readyQueue) []wait {
-	if waits := c.waitsOfHeap(&q.onTime, (*task).turnOnTime); len(waits) > 0 {
+func (c *Core) groupsOf(q *readyQueue) []waitingGroup {
+	if waits := c.groupsOfHeap(&q.onTime, (*task).onTimeDeadline); len(waits) > 0 {
 		return waits
 	}
-	return c.waitsOfHeap(&q.overdue, (*task).turnOverdue)
+	return c.groupsOfHeap(&q.overdue, (*task).overdueDeadline)
 }
 
-func (c *Core) waitsOfHeap(q *taskHeap, turnOf func(*task) time.Time) []wait {
-	at := make(map[waitKey]int)
-	var out []wait
+func (c *Core) groupsOfHeap(q *taskHeap, turnOf func(*task) time.Time) []waitingGroup {
+	at := make(map[groupKey]int)
+	var out []waitingGroup
 	for _, t := range q.tasks {
 		if _, ok := c.epochOf(t.job); !ok {
 			continue
 		}
-		key := waitKey{t.job.sub.Queue.Priority, t.step.Requires, t.job.begun(), t.step.Need.GPU, sizeOf(t.step.Need.CPU)}
+		key := groupKey{t.job.sub.Queue.Priority, t.step.Requires, t.job.begun(), t.step.Need.GPU, sizeClass(t.step.Need.CPU)}
 		i, known := at[key]
 		if !known {
 			i = len(out)
 			at[key] = i
-			out = append(out, wait{waitKey: key})
+			out = append(out, waitingGroup{groupKey: key})
 		}
 		out[i].add(t, turnOf(t))
 	}
-	slices.SortFunc(out, func(a, b wait) int { return a.from.Compare(b.from) })
+	slices.SortFunc(out, func(a, b waitingGroup) int { return a.from.Compare(b.from) })
 	return out[:min(wire.MostWaits, len(out))]
 }
 
-func (k *wait) add(t *task, turn time.Time) {
+func (k *waitingGroup) add(t *task, turn time.Time) {
 	if k.first == nil || turn.Before(k.from) {
 		k.first, k.from = t, turn
 	}
@@ -78,47 +78,47 @@
 	k.work += t.work()
 }
 
-// wanted returns how many workers are to be asked.
-func (k *wait) wanted() int { return max(leastAsked, askedATask*k.tasks) }
+// workersWanted returns how many workers are to be asked.
+func (k *waitingGroup) workersWanted() int { return max(minWorkersAsked, workersPerTask*k.tasks) }
 
-// spread returns at which of the workers it begins to be asked for, the same each time: waits
+// firstWorker returns at which of the workers it begins to be asked for, the same each time: waits
 // that ask for different things begin at different ones.
-func (k *wait) spread() int {
+func (k *waitingGroup) firstWorker() int {
 	at := 3*k.size + 5*int(max(0, k.priority))
 	if k.begun {
-		at += leastAsked - 1
+		at += minWorkersAsked - 1
 	}
 	return at
 }
 
-// farOff sets the turns of jobs that have begun before all others, and those of overdue
+// categoryGap sets the turns of jobs that have begun before all others, and those of overdue
 // tasks after them: it is more than any task waits.
-const farOff = 20 * time.Minute
+const categoryGap = 20 * time.Minute
 
-// turnOnTime returns the turn of a task that is on time, as workers are told of it.
-func (t *task) turnOnTime() time.Time {
+// onTimeDeadline returns the turn of a task that is on time, as workers are told of it.
+func (t *task) onTimeDeadline() time.Time {
 	if t.job.begun() {
-		return t.job.received.Add(-farOff)
+		return t.job.received.Add(-categoryGap)
 	}
 	return t.virtualDeadline()
 }
 
-// turnOverdue returns the same of an overdue one: the order is that of overdueBefore.
-func (t *task) turnOverdue() time.Time {
+// overdueDeadline returns the same of an overdue one: the order is that of overdueBefore.
+func (t *task) overdueDeadline() time.Time {
 	if t.job.begun() {
-		return t.due.Add(farOff)
+		return t.due.Add(categoryGap)
 	}
-	return t.due.Add(2 * farOff)
+	return t.due.Add(2 * categoryGap)
 }
 
-// mayHave returns whether the first task of the wait may go to the worker when there is
+// canServe returns whether the first task of the wait may go to the worker when there is
 // room.
-func (w *worker) mayHave(k wait) bool {
-	return (w.confirmed || k.first.job.sub.BestEffort) && k.need.Fits(w.identity.Capacity) && allowed(k.first, w)
+func (w *worker) canServe(k waitingGroup) bool {
+	return (w.confirmed || k.first.job.sub.BestEffort) && k.need.Fits(w.identity.Capacity) && allowedOn(k.first, w)
 }
 
 // message returns the wait as a worker is told of it.
-func (k *wait) message(now time.Time) wire.RoomWait {
+func (k *waitingGroup) message(now time.Time) wire.RoomWait {
 	return wire.RoomWait{
 		WaitingWork: wire.WaitingWork{
 			Priority: k.priority,
