--- a/jobs/scheduler/candidates.go
+++ b/jobs/scheduler/candidates.go
@@ -7,22 +7,23 @@
 	"github.com/lichenfall/lichenfall/jobs/durable"
 )
 
-// maxCandidates is how many workers are looked at in one round, so that a task
-// costs the same however many there are.
+// maxCandidates is the number of workers that one round considers, so that the cost of a task does
+// not grow with the number of workers.
 const maxCandidates = 64
 
-// candidate is a worker with what we believe is free there.
+// candidate is a worker that may get tasks in a round, with the capacity that is free there as far as
+// this coordinator knows.
 type candidate struct {
 	w       *worker
 	free    durable.Resources
-	fresh   bool    // it told of that just now
+	fresh   bool    // its status is at most freshFor old
 	factor  float64 // usual time of a run there over its estimate
-	heldFor float64 // work that holds out for it in this round, thousandths of a core times ms
-	ejected bool    // an outlier that gets no task now
-	jitter  float64 // share of the capacity by which the choice is left to chance
+	heldFor float64 // work of the tasks held for it in this round, in thousandths of a core times ms
+	ejected bool    // it is an outlier and not due for a probe
+	jitter  float64 // random term of its score
 }
 
-// candidates returns the workers of the service that take tasks.
+// candidates returns the sampled workers of the service that take tasks.
 func (c *Core) candidates(now time.Time, service string) []candidate {
 	sample := c.sample(service)
 	out := make([]candidate, 0, len(sample))
@@ -42,13 +43,14 @@
 	return out
 }
 
-// takesTasks returns whether the worker can be reached and takes tasks.
+// takesTasks returns whether the worker is connected, has sent a status within Settings.Suspect, and
+// reports that it takes tasks.
 func (c *Core) takesTasks(now time.Time, w *worker) bool {
 	return w.up && w.status.Ready && now.Sub(w.heardAt) <= c.cfg.Suspect
 }
 
-// free returns what is free at the worker: what it said last, less what was
-// ordered since. It may be negative.
+// free returns the worker's free capacity: what its last status reports, less the needs of the runs
+// that were ordered since. It may be negative.
 func (w *worker) free() durable.Resources {
 	free := w.status.Free
 	for t := range w.assigned {
@@ -59,8 +61,9 @@
 	return free
 }
 
-// sample returns the workers to look at in this round: all, or a run of them that begins
-// anywhere, and those that have just told of room which was asked for.
+// sample returns the workers that this round considers: all eligible ones, or maxCandidates of them
+// in sequence from a random one, and those that have just reported capacity which was requested for
+// the service.
 func (c *Core) sample(service string) []*worker {
 	n := len(c.eligible)
 	if n <= maxCandidates {
--- a/jobs/scheduler/capacityrequests.go
+++ b/jobs/scheduler/capacityrequests.go
@@ -8,124 +8,133 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
+// When tasks of a service fit on no worker, the coordinator sends capacity requests (wire.RoomAsk)
+// to some of the service's workers. A request lists the groups of tasks that wait. Each worker
+// collects the requests of all coordinators, reports its free capacity to the one whose task is first
+// in order, and reserves it for a moment (a grant, package room).
+
 const (
-	minWorkersAsked   = 16                    // workers that are asked for one task: one of them has an end in a millisecond or two
-	workersPerTask    = 2                     // workers for each task that waits
-	requestInterval   = 50 * time.Millisecond // an ask that stands is repeated so often; it lapses after three times that
-	minRequestGap     = 10 * time.Millisecond // least time between two looks at what to ask for
-	minDeadlineChange = 10 * time.Millisecond // by how much the first turn has to change for another ask
-	unusedPause       = 50 * time.Millisecond // for how long a worker is not asked that bars what its room suits
-	freshFor          = 10 * time.Millisecond // for how long a status tells of room that is waited for: a little less than a grant stands
+	minWorkersAsked  = 16                    // workers asked for a single task: a run ends on one of them within a millisecond or two
+	workersPerTask   = 2                     // workers asked for each task that waits
+	requestInterval  = 50 * time.Millisecond // an active request is repeated so often; it expires after three times that
+	minRequestGap    = 10 * time.Millisecond // least time between two reviews of what to request
+	minDeadlineShift = 10 * time.Millisecond // change of the first virtual deadline that has a request sent again
+	unusedPause      = 50 * time.Millisecond // pause of requests to a worker whose reported capacity suits tasks that it may not run
+	freshFor         = 10 * time.Millisecond // how long a status holds while others wait for capacity: a little less than a grant lasts
 )
 
-// capacityRequest is what a worker was asked for over its present connection.
+// capacityRequest is the state of the request to one worker, over its present connection.
 type capacityRequest struct {
 	seq         uint64              // of the newest RoomAsk
-	seenStamp   int64               // the newest Stamp that the worker was told is handled
-	active      bool                // it names something that waits
-	at          time.Time           // when it was sent
-	first       time.Time           // the first turn that it names
+	seenStamp   int64               // Stamp of the newest status that the worker knows to be handled
+	active      bool                // the newest RoomAsk names tasks that wait
+	at          time.Time           // when the newest RoomAsk was sent
+	first       time.Time           // the earliest virtual deadline that it names
 	needs       []durable.Resources // that it names
-	before      []durable.Resources // that the ask before named: room may be on its way for them
-	reported    bool                // the worker has told of room for one of those, and dispatch has not run since
-	pausedUntil time.Time           // the worker is not asked before
+	previous    []durable.Resources // needs of the RoomAsk before: a report of capacity for them may be on its way
+	reported    bool                // the worker has reported capacity for a need, and dispatch has not run since
+	pausedUntil time.Time           // no request is sent to the worker before
 }
 
-// suits returns whether the room would do for what was asked for.
-func (a *capacityRequest) matches(free durable.Resources) bool {
+// matches returns whether the capacity suffices for any need of the present or the previous request.
+func (r *capacityRequest) matches(free durable.Resources) bool {
 	fits := func(need durable.Resources) bool { return need.Fits(free) }
-	return a.active && (slices.ContainsFunc(a.needs, fits) || slices.ContainsFunc(a.before, fits))
+	return r.active && (slices.ContainsFunc(r.needs, fits) || slices.ContainsFunc(r.previous, fits))
 }
 
-// isDue returns whether another ask is to be sent for what is to be asked for now.
-func (a *capacityRequest) isDue(now time.Time, waits []waitingGroup) bool {
-	if !a.active || len(waits) == 0 {
-		return a.active != (len(waits) > 0)
+// isDue returns whether a request for the groups is to be sent now. It is, if the request becomes
+// active or inactive, if the last one is requestInterval old, or if it is minRequestGap old and the
+// groups have changed.
+func (r *capacityRequest) isDue(now time.Time, groups []waitingGroup) bool {
+	if !r.active || len(groups) == 0 {
+		return r.active != (len(groups) > 0)
 	}
-	age := now.Sub(a.at)
-	change := waits[0].from.Sub(a.first).Abs()
-	return age >= requestInterval || age >= minRequestGap && (change > minDeadlineChange || len(waits) != len(a.needs))
+	age := now.Sub(r.at)
+	change := groups[0].from.Sub(r.first).Abs()
+	return age >= requestInterval || age >= minRequestGap && (change > minDeadlineShift || len(groups) != len(r.needs))
 }
 
-// capacityRequests is what is asked for the tasks of one service.
+// capacityRequests holds the requests for the tasks of one service.
 type capacityRequests struct {
-	workers  []*worker // that are asked; asks that stand are theirs, or of a connection that is lost
-	reported []*worker // with ask.told
-	at       time.Time // when they were last looked over
+	workers  []*worker // that are asked; all active requests are to these, or were sent over a lost connection
+	reported []*worker // that have reported capacity since dispatch last ran (capacityRequest.reported)
+	at       time.Time // when the requests were last reviewed
 }
 
 func (c *Core) requestsOf(service string) *capacityRequests {
-	a := c.requests[service]
-	if a == nil {
-		a = &capacityRequests{}
-		c.requests[service] = a
+	rs := c.requests[service]
+	if rs == nil {
+		rs = &capacityRequests{}
+		c.requests[service] = rs
 	}
-	return a
+	return rs
 }
 
-// requesting returns whether room is asked for, since tasks of the service fit nowhere.
+// requesting returns whether capacity is requested because tasks of the service fit on no worker.
 func (c *Core) requesting(service string) bool {
-	a := c.requests[service]
-	return a != nil && len(a.workers) > 0
+	rs := c.requests[service]
+	return rs != nil && len(rs.workers) > 0
 }
 
-// noteFreeCapacity notes what a status says of room that was asked for.
+// noteFreeCapacity records whether the worker's newest status reports capacity that was requested.
 func (c *Core) noteFreeCapacity(w *worker) {
 	if w.request.reported || !w.request.matches(w.free()) {
 		return
 	}
 	w.request.reported = true
-	a := c.requestsOf(w.identity.Service)
-	a.reported = append(a.reported, w)
+	rs := c.requestsOf(w.identity.Service)
+	rs.reported = append(rs.reported, w)
 }
 
-// usable returns what we may use of what is free at the worker. Where room is waited for, by
-// us or others, what was told a while ago is not freshFor, since it has likely gone to
-// somebody; and once we have said that a status is handled, what we left of it is not ours.
+// usable returns the part of the worker's free capacity that this coordinator may use. While this or
+// another coordinator requests capacity there, a status is used only while it is fresh, since the
+// capacity has probably been taken afterwards. Nor is it used after the worker has been told that it
+// is handled, since the worker then grants the rest to others.
 func (w *worker) usable(now time.Time) durable.Resources {
-	waitedFor := w.request.active || len(w.status.Waiting) > 0
-	if waitedFor && (!w.fresh(now) || w.request.seenStamp == w.status.Stamp) {
+	contested := w.request.active || len(w.status.Waiting) > 0
+	if contested && (!w.fresh(now) || w.request.seenStamp == w.status.Stamp) {
 		return durable.Resources{}
 	}
 	return w.free()
 }
 
-// fresh returns whether the worker has told of what is free just now.
+// fresh returns whether the worker's status is at most freshFor old.
 func (w *worker) fresh(now time.Time) bool { return now.Sub(w.heardAt) < freshFor }
 
-// requestCapacity asks workers for room for what dispatch has left of a service's tasks, and
-// total back what was asked for once nothing is left.
+// requestCapacity requests capacity for the tasks of a service that dispatch could not order, and
+// withdraws the requests once none are left.
 func (c *Core) requestCapacity(now time.Time, service string, q *readyQueue, orders map[*worker]*wire.StartRuns) {
-	a := c.requestsOf(service)
-	unused := c.takeReported(a, orders)
-	look := now.Sub(a.at) >= minRequestGap
+	rs := c.requestsOf(service)
+	unused := c.takeReported(rs, orders)
+	due := now.Sub(rs.at) >= minRequestGap
 	switch {
 	case q.Len() == 0:
-		c.withdrawAll(now, a)
+		c.withdrawAll(now, rs)
 		return
-	case !look && len(unused) == 0:
+	case !due && len(unused) == 0:
 		return
 	}
-	waits := c.groupsOf(q)
-	if look {
-		a.at = now
-		c.chooseWorkers(now, a, service, waits)
+	groups := c.groupsOf(q)
+	if due {
+		rs.at = now
+		c.chooseWorkers(now, rs, service, groups)
 	}
-	shares := a.distribute(waits)
+	shares := rs.distribute(groups)
 	for _, w := range unused {
 		c.declineCapacity(now, w, shares[w])
 	}
-	if look {
-		c.sendRequests(now, a, shares)
+	if due {
+		c.sendRequests(now, rs, shares)
 	}
 }
 
-// takeReported returns the workers that told of room of which dispatch has used nothing. An
-// order says by its Seen that the rest is not wanted.
-func (c *Core) takeReported(a *capacityRequests, orders map[*worker]*wire.StartRuns) (unused []*worker) {
-	for _, w := range a.reported {
+// takeReported clears the list of workers that have reported requested capacity, and returns those
+// that got no order. An order names in Seen the status that it answers, by which the worker knows
+// that the rest of the capacity is not used.
+func (c *Core) takeReported(rs *capacityRequests, orders map[*worker]*wire.StartRuns) (unused []*worker) {
+	for _, w := range rs.reported {
 		if !w.request.reported {
-			continue // its connection is another since
+			continue // it has reconnected, or its backend server has a new incarnation
 		}
 		w.request.reported = false
 		what := RoomUsed
@@ -135,28 +144,29 @@
 		}
 		c.note(Note{What: what, Worker: w.name, Frequent: true})
 	}
-	a.reported = a.reported[:0]
+	rs.reported = rs.reported[:0]
 	return unused
 }
 
-// declineCapacity lets a worker know at once that the room that it told of is not used. If it would
-// suit what waits, something bars that there: to ask again would bring the same room again.
-func (c *Core) declineCapacity(now time.Time, w *worker, waits []waitingGroup) {
+// declineCapacity tells a worker at once that the capacity which it reported is not used. If that
+// capacity suffices for a task that waits, something else keeps the task from the worker, and a new
+// request would bring the same report. No request is then sent to it for unusedPause.
+func (c *Core) declineCapacity(now time.Time, w *worker, groups []waitingGroup) {
 	if !w.up {
 		return
 	}
 	free := w.free()
-	if slices.ContainsFunc(waits, func(k waitingGroup) bool { return k.need.Fits(free) }) {
+	if slices.ContainsFunc(groups, func(g waitingGroup) bool { return g.need.Fits(free) }) {
 		w.request.pausedUntil = now.Add(unusedPause)
-		waits = nil
+		groups = nil
 	}
-	c.sendRequest(now, w, waits)
+	c.sendRequest(now, w, groups)
 }
 
-// withdrawAll takes back all that stands.
-func (c *Core) withdrawAll(now time.Time, a *capacityRequests) {
+// withdrawAll withdraws all active requests.
+func (c *Core) withdrawAll(now time.Time, rs *capacityRequests) {
 	n := 0
-	for _, w := range a.workers {
+	for _, w := range rs.workers {
 		if w.up && w.request.active {
 			c.sendRequest(now, w, nil)
 			n++
@@ -165,35 +175,35 @@
 	if n > 0 {
 		c.note(Note{What: RoomWithdrawn, Measure: WorkersAsked, Value: int64(n), Frequent: true})
 	}
-	a.workers = a.workers[:0]
-	a.at = time.Time{}
+	rs.workers = rs.workers[:0]
+	rs.at = time.Time{}
 }
 
-// chooseWorkers settles which workers are asked: those that are already, as long as they may
-// be, then preferred ones, then others by chance.
-func (c *Core) chooseWorkers(now time.Time, a *capacityRequests, service string, waits []waitingGroup) {
-	a.workers = slices.DeleteFunc(a.workers, func(w *worker) bool {
-		may := c.mayRequest(now, w, service, waits)
+// chooseWorkers decides which workers are asked: those that are asked already and still may be, then
+// preferred ones, then others at random.
+func (c *Core) chooseWorkers(now time.Time, rs *capacityRequests, service string, groups []waitingGroup) {
+	rs.workers = slices.DeleteFunc(rs.workers, func(w *worker) bool {
+		may := c.mayRequest(now, w, service, groups)
 		if !may && w.up && w.request.active {
 			c.sendRequest(now, w, nil)
 		}
 		return !may
 	})
 	wanted := 0
-	for i := range waits {
-		wanted += waits[i].workersWanted()
+	for i := range groups {
+		wanted += groups[i].workersWanted()
 	}
-	if more := wanted - len(a.workers); more > 0 {
-		a.workers = append(a.workers, c.moreWorkers(now, a, service, waits, more)...)
+	if more := wanted - len(rs.workers); more > 0 {
+		rs.workers = append(rs.workers, c.moreWorkers(now, rs, service, groups, more)...)
 	}
 }
 
-// moreWorkers returns up to n workers that may be asked and are not.
-func (c *Core) moreWorkers(now time.Time, a *capacityRequests, service string, waits []waitingGroup, n int) []*worker {
+// moreWorkers returns up to n workers that may be asked and are not asked yet.
+func (c *Core) moreWorkers(now time.Time, rs *capacityRequests, service string, groups []waitingGroup, n int) []*worker {
 	var preferred, others []*worker
 	for _, w := range c.eligible {
 		switch {
-		case !c.mayRequest(now, w, service, waits) || slices.Contains(a.workers, w):
+		case !c.mayRequest(now, w, service, groups) || slices.Contains(rs.workers, w):
 		case w.preference == Preferred:
 			preferred = append(preferred, w)
 		default:
@@ -205,36 +215,37 @@
 	return out[:min(n, len(out))]
 }
 
-// mayRequest returns whether the worker takes tasks, and some of what waits may go there.
-func (c *Core) mayRequest(now time.Time, w *worker, service string, waits []waitingGroup) bool {
+// mayRequest returns whether the worker takes tasks, may run one of the groups, and is neither
+// ejected nor paused.
+func (c *Core) mayRequest(now time.Time, w *worker, service string, groups []waitingGroup) bool {
 	return c.isEligible(w) && c.takesTasks(now, w) && w.identity.Service == service && !now.Before(w.request.pausedUntil) &&
-		!c.ejected(now, w) && slices.ContainsFunc(waits, w.canServe)
+		!c.ejected(now, w) && slices.ContainsFunc(groups, w.canServe)
 }
 
-// distribute returns what each worker is asked for. What waits is asked for at no more workers
-// than it wants: of more that get room at once, all but a few would get it for nothing.
-func (a *capacityRequests) distribute(waits []waitingGroup) map[*worker][]waitingGroup {
-	shares := make(map[*worker][]waitingGroup, len(a.workers))
-	for _, k := range waits {
+// distribute returns the groups that each worker is asked for. No group is asked for at more workers
+// than it wants: if more of them granted capacity at once, all but a few grants would go unused.
+func (rs *capacityRequests) distribute(groups []waitingGroup) map[*worker][]waitingGroup {
+	shares := make(map[*worker][]waitingGroup, len(rs.workers))
+	for _, g := range groups {
 		var may []*worker
-		for _, w := range a.workers {
-			if w.canServe(k) {
+		for _, w := range rs.workers {
+			if w.canServe(g) {
 				may = append(may, w)
 			}
 		}
-		k.asked = min(k.workersWanted(), len(may))
-		for i := range k.asked {
-			w := may[(k.firstWorker()+i)%len(may)]
-			shares[w] = append(shares[w], k)
+		g.asked = min(g.workersWanted(), len(may))
+		for i := range g.asked {
+			w := may[(g.firstWorker()+i)%len(may)]
+			shares[w] = append(shares[w], g)
 		}
 	}
 	return shares
 }
 
-// sendRequests sends what is due to the workers that are asked.
-func (c *Core) sendRequests(now time.Time, a *capacityRequests, shares map[*worker][]waitingGroup) {
+// sendRequests sends the requests that are due.
+func (c *Core) sendRequests(now time.Time, rs *capacityRequests, shares map[*worker][]waitingGroup) {
 	n := 0
-	for _, w := range a.workers {
+	for _, w := range rs.workers {
 		if w.request.isDue(now, shares[w]) {
 			c.sendRequest(now, w, shares[w])
 			n++
@@ -245,21 +256,21 @@
 	}
 }
 
-// sendRequest replaces what the worker was asked for.
-func (c *Core) sendRequest(now time.Time, w *worker, waits []waitingGroup) {
-	a := &w.request
-	a.seq++
-	a.seenStamp = w.status.Stamp
-	a.at = now
-	a.active = len(waits) > 0
-	a.needs, a.before = a.before[:0], a.needs
-	m := &wire.RoomAsk{Seq: a.seq, Seen: a.seenStamp}
-	for i := range waits {
-		a.needs = append(a.needs, waits[i].need)
-		m.Waits = append(m.Waits, waits[i].message(now))
+// sendRequest replaces the request to the worker; one without groups withdraws it.
+func (c *Core) sendRequest(now time.Time, w *worker, groups []waitingGroup) {
+	r := &w.request
+	r.seq++
+	r.seenStamp = w.status.Stamp
+	r.at = now
+	r.active = len(groups) > 0
+	r.needs, r.previous = r.previous[:0], r.needs
+	m := &wire.RoomAsk{Seq: r.seq, Seen: r.seenStamp}
+	for i := range groups {
+		r.needs = append(r.needs, groups[i].need)
+		m.Waits = append(m.Waits, groups[i].message(now))
 	}
-	if a.active {
-		a.first = waits[0].from
+	if r.active {
+		r.first = groups[0].from
 	}
 	c.send(w.name, m)
 }
--- a/jobs/scheduler/dispatch.go
+++ b/jobs/scheduler/dispatch.go
@@ -8,11 +8,12 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// lookAhead is how many tasks that fit nowhere are passed over before the rest of
-// the queue waits, and how many more may hold out for quicker places.
+// lookAhead is the number of tasks that fit on no worker after which dispatch leaves the rest of the
+// queue alone. As many more may be held for faster workers.
 const lookAhead = 24
 
-// dispatch sends ready tasks to workers with room, and asks for room for what is left.
+// dispatch sends ready tasks to workers with free capacity, and requests capacity for the tasks that
+// are left.
 func (c *Core) dispatch(now time.Time) {
 	if !c.evacuationsKnown() {
 		return
@@ -44,37 +45,38 @@
 	}
 }
 
-// dispatchHeap orders what it can of the heap, and returns whether nothing is
-// left that could have been ordered with more room.
+// dispatchHeap orders runs of the heap's tasks in their order, and returns whether it ordered all.
 func (c *Core) dispatchHeap(now time.Time, q *taskHeap, r *round, orders map[*worker]*wire.StartRuns) bool {
-	var passed, held []*task
-	for q.Len() > 0 && len(passed) < lookAhead {
+	var skipped, held []*task
+	for q.Len() > 0 && len(skipped) < lookAhead {
 		t := heap.Pop(q).(*task)
 		epoch, ok := c.epochOf(t.job)
 		if !ok {
-			passed = append(passed, t)
+			skipped = append(skipped, t)
 			continue
 		}
 		f := c.evaluatorFor(now, t, r)
 		cand := c.choose(&f, r.workers)
 		switch {
 		case cand == nil:
-			passed = append(passed, t)
+			skipped = append(skipped, t)
 		case len(held) < lookAhead && c.shouldHold(r, &f, cand):
 			held = append(held, t)
 		default:
 			c.orderRun(now, epoch, &f, cand, orders)
 		}
 	}
-	passed = append(passed, held...)
-	for _, t := range passed {
-		t.sortKey = t.virtualDeadline() // others of its job may have been ordered meanwhile
+	skipped = append(skipped, held...)
+	for _, t := range skipped {
+		t.sortKey = t.virtualDeadline() // its job may have begun by the order of another task
 		heap.Push(q, t)
 	}
-	return len(passed) == 0
+	return len(skipped) == 0
 }
 
-// epochOf returns the epoch under which the job's tasks may be ordered now.
+// epochOf returns the epoch under which the job's tasks may be ordered now, 0 for a best-effort job.
+// ok is false if this coordinator may not order them: it does not own the job's partition, the lease
+// on the partition may have ended, or a later owner is known.
 func (c *Core) epochOf(j *job) (epoch uint64, ok bool) {
 	if j.sub.BestEffort {
 		return 0, true
@@ -86,8 +88,8 @@
 	return p.epoch, true
 }
 
-// orderRun adds a run of the task to the orders of the worker. One that is sent to a
-// worker with bad figures is its probe.
+// orderRun adds a run of the task to the orders for the candidate's worker. On an outlier the run is
+// its probe.
 func (c *Core) orderRun(now time.Time, epoch uint64, f *evaluator, cand *candidate, orders map[*worker]*wire.StartRuns) {
 	t, w := f.t, cand.w
 	cand.free = cand.free.Sub(t.step.Need)
@@ -116,7 +118,7 @@
 	c.note(Note{What: RunOrdered, Task: t.id.String(), Run: t.run, Worker: w.name, Reason: f.reason(cand), Measure: JobAgeMS, Value: t.job.age(now), Frequent: true})
 }
 
-// assign notes that the task is with the worker.
+// assign records that the task is with the worker.
 func (c *Core) assign(now time.Time, t *task, w *worker) {
 	t.state = taskAssigned
 	t.worker = w
@@ -130,7 +132,7 @@
 	w.assigned[t] = struct{}{}
 }
 
-// unassign notes that the task is with no worker any more.
+// unassign records that the task is with no worker.
 func (c *Core) unassign(now time.Time, t *task) {
 	if t.worker == nil {
 		return
@@ -144,7 +146,7 @@
 	}
 }
 
-// stop orders the end of the task's run.
+// stop tells the worker to stop the task's run, if the worker is connected.
 func (c *Core) stop(t *task) {
 	if t.worker.up {
 		c.send(t.worker.name, &wire.StopRuns{Runs: []wire.RunRef{t.ref()}})
--- a/jobs/scheduler/ready.go
+++ b/jobs/scheduler/ready.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// readyQueue holds the tasks of one service that want a worker.
+// readyQueue holds the tasks of one service that wait for a worker.
 type readyQueue struct {
-	onTime  taskHeap // can still begin by their due time
-	overdue taskHeap // cannot; they get what room the others leave
+	onTime  taskHeap // tasks that can still begin by their due time
+	overdue taskHeap // tasks that cannot; they get the capacity that the others leave free
 }
 
 func newReadyQueue() *readyQueue {
@@ -18,8 +18,8 @@
 	}
 }
 
-// onTimeBefore goes by turn, and where that is the same, as for all that is left of a job that
-// has begun, puts that first after which the most work comes.
+// onTimeBefore orders tasks by their virtual deadlines. Those of a job that has begun share one; of
+// these the task that is followed by the longest chain of work, and so is due first, precedes.
 func onTimeBefore(a, b *task) bool {
 	if d := a.sortKey.Compare(b.sortKey); d != 0 {
 		return d < 0
@@ -27,8 +27,8 @@
 	return a.due.Before(b.due)
 }
 
-// overdueBefore puts jobs that have begun first: they hold work that is of no use
-// alone.
+// overdueBefore puts tasks of jobs that have begun first, since the work that is done for a job is of
+// no use until the whole job ends. Otherwise it orders by due time.
 func overdueBefore(a, b *task) bool {
 	if begun := a.job.begun(); begun != b.job.begun() {
 		return begun
@@ -47,7 +47,7 @@
 	heap.Push(t.heap, t)
 }
 
-// moveOverdue moves the tasks whose due time is over to the overdue ones.
+// moveOverdue moves tasks that have become overdue to the overdue heap.
 func (q *readyQueue) moveOverdue(now time.Time) {
 	for i := 0; i < q.onTime.Len(); {
 		t := q.onTime.tasks[i]
@@ -60,8 +60,9 @@
 	}
 }
 
-// setBegun sets how many of the job's tasks are with workers, and whether one has
-// run. The place of its other tasks in the queue follows from whether it has begun.
+// setBegun sets how many of the job's tasks are with workers, and whether one has run. If the job
+// thereby begins, or no longer counts as begun, its queued tasks are queued again, since their order
+// depends on it.
 func (c *Core) setBegun(now time.Time, j *job, assigned int, ran bool) {
 	before := j.begun()
 	if (ran || assigned > 0) == before {
@@ -81,7 +82,7 @@
 	}
 }
 
-// readyTasks lets the tasks of a job wait for a worker whose earlier steps are done.
+// readyTasks queues the job's tasks whose steps depend on nothing that is not done.
 func (c *Core) readyTasks(now time.Time, j *job) {
 	if !j.accepted || j.unsettled || j.state.Final() {
 		return
@@ -95,7 +96,8 @@
 	}
 }
 
-// enqueue makes the task wait for a worker.
+// enqueue queues the task for a worker. It stays blocked while its job is unsettled, and is suspended
+// while it waits to learn whether silent backend servers have crashed.
 func (c *Core) enqueue(now time.Time, t *task) {
 	if t.job.state.Final() || t.position >= 0 {
 		return
@@ -122,7 +124,7 @@
 	return q
 }
 
-// unqueue takes the task back: it does not want a worker any more.
+// unqueue removes the task from its queue, or from the suspended tasks.
 func (c *Core) unqueue(t *task) {
 	delete(c.suspended, t)
 	if t.position >= 0 {
--- a/jobs/scheduler/waits.go
+++ b/jobs/scheduler/waits.go
@@ -9,44 +9,45 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// wait is what waits for room of one priority, of the tasks that ask for about the same.
+// waitingGroup is a group of tasks of one priority and of about the same need that wait for
+// capacity.
 type waitingGroup struct {
 	groupKey
 	first    *task
-	from, to time.Time         // turns of the first and the last task
-	need     durable.Resources // the most that one of them takes
+	from, to time.Time         // earliest and latest virtual deadline, as workers get them
+	need     durable.Resources // maximum over the tasks
 	tasks    int
 	work     float64 // thousandths of a core times nanoseconds
-	asked    int     // how many workers are asked
+	asked    int     // number of workers that are asked for it
 }
 
-// groupKey is what the tasks of a wait have in common. Those of jobs that have begun stand
-// apart, since their turns are far from the others'; so do those of other sizes, since room
-// for small ones may be where there is none for large ones.
+// groupKey is what the tasks of a group have in common. Jobs that have begun have groups of their
+// own, since their virtual deadlines are far from all others. So do tasks of different sizes, since
+// there may be capacity for small tasks where there is none for large ones.
 type groupKey struct {
 	priority int32
 	requires string // label
 	begun    bool
 	gpu      int64
-	size     int
+	size     int // sizeClass of the need of processor time
 }
 
-// sizeClass returns the size of a need of processor time, in steps of half a power of two.
+// sizeClass returns the size class of a need of processor time. There are two for each power of two.
 func sizeClass(milliCPU int64) int {
 	n := bits.Len64(uint64(max(1, milliCPU)))
 	return 2*n + int(milliCPU>>max(0, n-2)&1)
 }
 
-// groupsOf returns what of the queue could be ordered with more room, first come first:
-// overdue tasks while no others are left, as in dispatch.
+// groupsOf returns the groups of queued tasks that could be ordered with more capacity, the one with
+// the earliest virtual deadline first. Overdue tasks count only while no others are left.
 func (c *Core) groupsOf(q *readyQueue) []waitingGroup {
-	if waits := c.groupsOfHeap(&q.onTime, (*task).onTimeDeadline); len(waits) > 0 {
-		return waits
+	if groups := c.groupsOfHeap(&q.onTime, (*task).onTimeDeadline); len(groups) > 0 {
+		return groups
 	}
 	return c.groupsOfHeap(&q.overdue, (*task).overdueDeadline)
 }
 
-func (c *Core) groupsOfHeap(q *taskHeap, turnOf func(*task) time.Time) []waitingGroup {
+func (c *Core) groupsOfHeap(q *taskHeap, deadlineOf func(*task) time.Time) []waitingGroup {
 	at := make(map[groupKey]int)
 	var out []waitingGroup
 	for _, t := range q.tasks {
@@ -60,42 +61,42 @@
 			at[key] = i
 			out = append(out, waitingGroup{groupKey: key})
 		}
-		out[i].add(t, turnOf(t))
+		out[i].add(t, deadlineOf(t))
 	}
 	slices.SortFunc(out, func(a, b waitingGroup) int { return a.from.Compare(b.from) })
 	return out[:min(wire.MostWaits, len(out))]
 }
 
-func (k *waitingGroup) add(t *task, turn time.Time) {
-	if k.first == nil || turn.Before(k.from) {
-		k.first, k.from = t, turn
+func (g *waitingGroup) add(t *task, deadline time.Time) {
+	if g.first == nil || deadline.Before(g.from) {
+		g.first, g.from = t, deadline
 	}
-	if k.tasks == 0 || turn.After(k.to) {
-		k.to = turn
+	if g.tasks == 0 || deadline.After(g.to) {
+		g.to = deadline
 	}
-	k.need = k.need.Max(t.step.Need)
-	k.tasks++
-	k.work += t.work()
+	g.need = g.need.Max(t.step.Need)
+	g.tasks++
+	g.work += t.work()
 }
 
-// workersWanted returns how many workers are to be asked.
-func (k *waitingGroup) workersWanted() int { return max(minWorkersAsked, workersPerTask*k.tasks) }
+// workersWanted returns how many workers should be asked for the group.
+func (g *waitingGroup) workersWanted() int { return max(minWorkersAsked, workersPerTask*g.tasks) }
 
-// firstWorker returns at which of the workers it begins to be asked for, the same each time: waits
-// that ask for different things begin at different ones.
-func (k *waitingGroup) firstWorker() int {
-	at := 3*k.size + 5*int(max(0, k.priority))
-	if k.begun {
+// firstWorker returns the index of the first worker that is asked for the group. It is the same each
+// time, and differs between groups so that these are spread over the workers.
+func (g *waitingGroup) firstWorker() int {
+	at := 3*g.size + 5*int(max(0, g.priority))
+	if g.begun {
 		at += minWorkersAsked - 1
 	}
 	return at
 }
 
-// categoryGap sets the turns of jobs that have begun before all others, and those of overdue
-// tasks after them: it is more than any task waits.
+// categoryGap separates the virtual deadlines in capacity requests of jobs that have begun, of tasks
+// on time and of overdue tasks. It is longer than any task waits.
 const categoryGap = 20 * time.Minute
 
-// onTimeDeadline returns the turn of a task that is on time, as workers are told of it.
+// onTimeDeadline returns the virtual deadline of a task on time, as capacity requests name it.
 func (t *task) onTimeDeadline() time.Time {
 	if t.job.begun() {
 		return t.job.received.Add(-categoryGap)
@@ -103,7 +104,8 @@
 	return t.virtualDeadline()
 }
 
-// overdueDeadline returns the same of an overdue one: the order is that of overdueBefore.
+// overdueDeadline returns the virtual deadline of an overdue task, as capacity requests name it. The
+// order is that of overdueBefore.
 func (t *task) overdueDeadline() time.Time {
 	if t.job.begun() {
 		return t.due.Add(categoryGap)
@@ -111,22 +113,22 @@
 	return t.due.Add(2 * categoryGap)
 }
 
-// canServe returns whether the first task of the wait may go to the worker when there is
-// room.
-func (w *worker) canServe(k waitingGroup) bool {
-	return (w.confirmed || k.first.job.sub.BestEffort) && k.need.Fits(w.identity.Capacity) && allowedOn(k.first, w)
+// canServe returns whether the worker, once it has free capacity, may run the first task of the
+// group.
+func (w *worker) canServe(g waitingGroup) bool {
+	return (w.confirmed || g.first.job.sub.BestEffort) && g.need.Fits(w.identity.Capacity) && allowedOn(g.first, w)
 }
 
-// message returns the wait as a worker is told of it.
-func (k *waitingGroup) message(now time.Time) wire.RoomWait {
+// message returns the group as a capacity request names it. The work is one worker's share.
+func (g *waitingGroup) message(now time.Time) wire.RoomWait {
 	return wire.RoomWait{
 		WaitingWork: wire.WaitingWork{
-			Priority: k.priority,
-			FirstMS:  k.from.Sub(now).Milliseconds(),
-			LastMS:   k.to.Sub(now).Milliseconds(),
-			Work:     int64(k.work / float64(time.Millisecond) / float64(max(1, k.asked))),
+			Priority: g.priority,
+			FirstMS:  g.from.Sub(now).Milliseconds(),
+			LastMS:   g.to.Sub(now).Milliseconds(),
+			Work:     int64(g.work / float64(time.Millisecond) / float64(max(1, g.asked))),
 		},
-		Need:  k.need,
-		Tasks: uint32(k.tasks),
+		Need:  g.need,
+		Tasks: uint32(g.tasks),
 	}
 }
