--- a/jobs/scheduler/admission.go
+++ b/jobs/scheduler/admission.go
@@ -8,39 +8,41 @@
 	"github.com/lichenfall/lichenfall/jobs/durable"
 )
 
-// Who is served, where, and why, when not all fit:
+// These files decide which jobs are served, when and where, while the capacity does not suffice for
+// all of them:
 //
-//	turn.go       the order of all that waits: one time a task, by its due time and class
-//	flows.go      what came of late by queue; which class is left behind
-//	forecast.go   what stands before a job, here and at other coordinators, and its wait
-//	admission.go  who is let in, and who gives way
-//	giveup.go     who is refused later, when room has shrunk or time has passed
-//	returns.go    when who was refused is told to come back
-//	placement.go  which worker a task goes to
+//	order.go       the order of waiting tasks: a virtual deadline from due time and class
+//	recentwork.go  recent work by queue; which classes are underserved; expected arrivals
+//	forecast.go    what precedes a job, here and at other coordinators, and how long it will wait
+//	admission.go   which jobs are admitted, and which are evicted for them
+//	giveup.go      which jobs are refused later, since capacity has shrunk or time has passed
+//	returns.go     when refused callers are told to come back
+//	placement.go   which worker runs a task
 //
-// docs/design/0013 has the reasons.
+// docs/design/0013 gives the reasons.
 
-// maxWaitShare is the share of its slack that a job may be thought to wait.
+// maxWaitShare is the share of its slack that a job may be expected to wait and still be admitted.
 const maxWaitShare = 0.5
 
-// Why a job was refused on its arrival.
+// Reasons for which a job is refused on arrival.
 const (
-	reasonNoWorker    = "no_worker"     // none of its service takes tasks
-	reasonTooLong     = "wait_too_long" // it could not be thought to begin in time
-	reasonTooManyJobs = "too_many_jobs"
+	reasonNoWorker    = "no_worker"     // no worker of its service takes tasks
+	reasonTooLong     = "wait_too_long" // it is not expected to begin in time
+	reasonTooManyJobs = "too_many_jobs" // the coordinator holds Settings.MaxJobs
 )
 
-// admit returns why a best-effort job cannot be thought to begin in time, or nothing if it can,
-// with what it would wait for. It is refused at once otherwise. The first of these that applies
-// decides:
-//   - some worker may have room and has not said so, or there were workers until a
-//     moment ago: it is taken, and waits for them;
-//   - no worker of its service takes tasks: it is refused;
-//   - there is room now, in whole tasks, for all that could begin: it is taken;
-//   - it waits for what comes before it no longer than maxWaitShare of the slack of its first
-//     task, as a job of the first class if its own is left behind: it is taken;
-//   - jobs of later classes that have not begun come before it, and without them it would
-//     not wait longer: they give way.
+// admit decides whether a best-effort job that has arrived is admitted. It returns the reason for
+// which the job is refused, empty if it is admitted, and the forecast of its wait. The first rule that
+// applies decides:
+//   - A worker that has just connected has not reported its capacity, or workers took tasks until a
+//     moment ago: the job is admitted and waits for them.
+//   - No worker of its service takes tasks: it is refused.
+//   - There is free capacity for all tasks that could begin at once: it is admitted.
+//   - It is expected to wait no longer than maxWaitShare of the slack of its first task: it is
+//     admitted. If its class is underserved, this is tried again with the job in the first class.
+//   - Jobs of later classes precede it, have not begun, and it would wait no longer than allowed
+//     without them: they are evicted and it is admitted.
+//   - Otherwise it is refused.
 func (c *Core) admit(now time.Time, j *job) (f Forecast, why string) {
 	service := j.sub.Queue.Service
 	s := c.supplyOf(now, service)
@@ -66,46 +68,46 @@
 	return f, reasonTooLong
 }
 
-// forecastNew returns how long a new job will wait whose first task is t.
+// forecastNew returns the forecast for a job that has arrived and whose first task is t.
 func (c *Core) forecastNew(now time.Time, s *supply, t *task) Forecast {
 	f := c.forecast(now, s, t, c.workAhead(t.job.sub.Queue.Service, t.virtualDeadline()))
 	f.Allowed = time.Duration(maxWaitShare * float64(t.due.Sub(now)))
 	return f
 }
 
-// evictFor refuses jobs of later classes that have not begun and come before the task, those of
-// the last class first and of these the last to come, if without them the task waits no longer than
-// it may. It returns whether it does.
+// evictFor refuses jobs of later classes that have not begun and precede the task, if the task then
+// waits no longer than its forecast allows. It evicts the last class first, and within a class the
+// job that arrived last. It returns whether the task may now be admitted.
 func (c *Core) evictFor(now time.Time, s *supply, t *task, f Forecast) bool {
 	if !c.cfg.Load.OrderByPriority || t.job.class == lastClass {
 		return false
 	}
 	excess := float64(f.Wait()-f.Allowed) * s.cores * s.scale
-	var give []*job
+	var evicted []*job
 	for _, j := range c.evictable(t) {
 		if excess <= 0 {
 			break
 		}
 		excess -= j.work()
-		give = append(give, j)
+		evicted = append(evicted, j)
 	}
 	if excess > 0 {
 		return false
 	}
-	for _, j := range give {
+	for _, j := range evicted {
 		c.refuseUnstarted(now, j, reasonGaveWay, nil)
 	}
 	return true
 }
 
-// evictable returns the jobs of later classes that have not begun and come before the task, in the
-// order in which they give way.
+// evictable returns the jobs of later classes that have not begun and precede the task, in the order
+// in which they are evicted.
 func (c *Core) evictable(t *task) []*job {
 	var out []*job
-	turn := t.virtualDeadline()
+	deadline := t.virtualDeadline()
 	for _, o := range c.readyOf(t.job.sub.Queue.Service).onTime.tasks {
 		j := o.job
-		if j.class > t.job.class && j.mayBeRefused() && o == j.firstReady() && !o.virtualDeadline().After(turn) {
+		if j.class > t.job.class && j.mayBeRefused() && o == j.firstReady() && !o.virtualDeadline().After(deadline) {
 			out = append(out, j)
 		}
 	}
@@ -115,10 +117,10 @@
 	return out
 }
 
-// mayBeRefused returns whether the job may be refused now: it has not run, and its caller waits.
+// mayBeRefused returns whether the job may still be refused: it is best-effort and has not begun.
 func (j *job) mayBeRefused() bool { return j.sub.BestEffort && !j.begun() }
 
-// firstReady returns the job's first task that wants a worker, or nil.
+// firstReady returns the job's first task that is queued for a worker, or nil.
 func (j *job) firstReady() *task {
 	for i := range j.tasks {
 		if j.tasks[i].position >= 0 {
@@ -128,17 +130,16 @@
 	return nil
 }
 
-// atJobLimit returns whether no more jobs may be taken, so that their state stays
-// within the box's memory.
+// atJobLimit returns whether no more jobs may be accepted. The limit bounds the memory that jobs use.
 func (c *Core) atJobLimit() bool { return c.active >= c.cfg.MaxJobs }
 
-// startupGrace is how long a connected worker may take to say what it has, and how long a
-// coordinator without workers lets its callers hope: the first status comes within a
-// heartbeat, unless the box is slow.
+// startupGrace is how long a connected worker may take to report its capacity, and how long jobs are
+// still admitted after the last worker stopped taking tasks. The first status comes within a heartbeat,
+// unless the box is slow.
 const startupGrace = 1500 * time.Millisecond
 
-// anyUnreported returns whether there are workers that may have room but have
-// not said so yet.
+// anyUnreported returns whether a worker that connected less than startupGrace ago has not reported that
+// it takes tasks.
 func (c *Core) anyUnreported(now time.Time) bool {
 	for _, w := range c.eligible {
 		if w.up && !w.status.Ready && now.Sub(w.upAt) < startupGrace {
@@ -148,7 +149,7 @@
 	return false
 }
 
-// workersServing returns how many workers can be reached and take tasks.
+// workersServing returns the number of eligible workers that take tasks.
 func (c *Core) workersServing(now time.Time) int {
 	n := 0
 	for _, w := range c.eligible {
@@ -159,14 +160,13 @@
 	return n
 }
 
-// Serving returns whether there are workers that take tasks, or were until a
-// moment ago, or this process has only begun.
+// Serving returns whether workers take tasks, or did so less than startupGrace ago. It also returns true
+// until the first Tick.
 func (c *Core) Serving(now time.Time) bool {
 	return c.servedAt.IsZero() || now.Sub(c.servedAt) < startupGrace
 }
 
-// initialTasks returns how many tasks could begin at once, and the most that one
-// of them takes.
+// initialTasks returns how many of the job's tasks could begin at once, and the maximum of their needs.
 func initialTasks(j *job) (need durable.Resources, tasks int64) {
 	for i := range j.sub.Steps {
 		if step := &j.sub.Steps[i]; len(step.DependsOn) == 0 {
@@ -177,18 +177,18 @@
 	return need, tasks
 }
 
-// workAhead returns the work of the tasks that are on time and come first, in
-// thousandths of a core times nanoseconds.
-func (c *Core) workAhead(service string, turn time.Time) float64 {
+// workAhead returns the work of the tasks on time at this coordinator whose virtual deadline is not
+// later than the given one, in thousandths of a core times nanoseconds.
+func (c *Core) workAhead(service string, deadline time.Time) float64 {
 	work := 0.0
 	for _, t := range c.readyOf(service).onTime.tasks {
-		if !t.virtualDeadline().After(turn) {
+		if !t.virtualDeadline().After(deadline) {
 			work += t.work()
 		}
 	}
 	return work
 }
 
-// SetSharers tells the core how many coordinators share each of the service's
-// workers that new tasks may go to, this one among them: 1 or more.
+// SetSharers sets how many coordinators, with this one, share each worker of the service to which new
+// tasks may go; at least 1.
 func (c *Core) SetSharers(service string, sharers float64) { c.sharers[service] = sharers }
--- a/jobs/scheduler/besteffort.go
+++ b/jobs/scheduler/besteffort.go
@@ -8,8 +8,8 @@
 	"github.com/lichenfall/lichenfall/lib/failure"
 )
 
-// submitBestEffort takes a job that is not kept. It lives as long as somebody
-// waits for its end.
+// submitBestEffort accepts or refuses a best-effort job, which is not stored. The job is cancelled when
+// no caller waits for its end any more. A resent call joins the callers of the job.
 func (c *Core) submitBestEffort(now time.Time, call Call, s *durable.Submission, budget time.Duration) {
 	if j := c.bestEffort[s.ID]; j != nil {
 		if !j.sub.SameContent(s) {
@@ -46,8 +46,8 @@
 	c.readyTasks(now, j)
 }
 
-// Abandon tells the core that a caller no longer waits. A best-effort job that
-// nobody waits for is cancelled.
+// Abandon tells the core that a caller no longer waits for the job. A best-effort job without callers
+// is cancelled.
 func (c *Core) Abandon(now time.Time, call Call, id durable.JobID) {
 	delete(c.callers, call)
 	j := c.bestEffort[id]
@@ -60,16 +60,17 @@
 	}
 }
 
-// SetEarliestSent tells the core that the call which brought a best-effort job may have been sent
-// as early as then.
+// SetEarliestSent tells the core that the caller may have sent the best-effort job as early as the
+// given time. The earliest such time is kept.
 func (c *Core) SetEarliestSent(id durable.JobID, earliest time.Time) {
 	if j := c.bestEffort[id]; j != nil && earliest.Before(j.sent) {
 		j.sent = earliest
 	}
 }
 
-// GiveUpUnannounced ends a best-effort job of which other coordinators were not told in time: a copy of
-// it may run elsewhere.
+// GiveUpUnannounced ends a best-effort job that could not be announced to the other coordinators in
+// time, since another of them may run the job for a resent call. A job that has not begun is refused;
+// the callers of one that has are told that its outcome is unknown.
 func (c *Core) GiveUpUnannounced(now time.Time, id durable.JobID) {
 	j := c.bestEffort[id]
 	if j == nil {
@@ -86,8 +87,8 @@
 	c.finish(now, j, durable.Cancelled, reasonUntold)
 }
 
-// BestEffortOlderThan returns the best-effort jobs that were sent at least so long ago, as far
-// as is known, in order; also those that are over and whose runs may not be.
+// BestEffortOlderThan returns the IDs of the best-effort jobs that may have been sent at least age ago,
+// sorted. It includes jobs that have ended while runs of theirs may still go on.
 func (c *Core) BestEffortOlderThan(now time.Time, age time.Duration) []durable.JobID {
 	var out []durable.JobID
 	for id, j := range c.bestEffort {
@@ -104,10 +105,11 @@
 	return out
 }
 
-// HasBestEffort returns whether the best-effort job is here.
+// HasBestEffort returns whether this coordinator has the best-effort job and it has not ended.
 func (c *Core) HasBestEffort(id durable.JobID) bool { return c.bestEffort[id] != nil }
 
-// answerBestEffort tells the callers of a job's end, and forgets it.
+// answerBestEffort replies to the callers of a best-effort job that has ended, and removes the job. A job
+// that ended late does not count as admitted work.
 func (c *Core) answerBestEffort(now time.Time, j *job) {
 	if now.After(j.due) {
 		c.retractAdmitted(now, j)
--- a/jobs/scheduler/forecast.go
+++ b/jobs/scheduler/forecast.go
@@ -6,25 +6,25 @@
 	"github.com/lichenfall/lichenfall/jobs/durable"
 )
 
-// supply is what the workers of a service give, as far as it is known here.
+// supply is the capacity of the workers of a service, as far as this coordinator knows it.
 type supply struct {
 	candidates []candidate
-	cores      float64       // of those that take tasks, at their speed, in thousandths
-	fresh      int           // candidates that have told of late what waits there for others
-	age        time.Duration // of the oldest of those words
-	scale      float64       // workers that may be chosen, for each candidate
-	sharers    float64       // coordinators that share the workers, with this one
-	short      bool          // room is asked for: of free room only what is fresh is freshFor
+	cores      float64       // of the candidates, weighted by their speed, in thousandths
+	reporting  int           // candidates that have lately reported the work which waits there for other coordinators
+	age        time.Duration // of the oldest of these reports
+	scale      float64       // number of eligible workers over maxCandidates; at least 1
+	sharers    float64       // number of coordinators that share the workers, with this one
+	freshOnly  bool          // capacity is requested, so only fresh statuses count
 }
 
-// supplyOf returns what the workers of the service give.
+// supplyOf returns the capacity of the workers of the service.
 func (c *Core) supplyOf(now time.Time, service string) *supply {
-	s := &supply{candidates: c.candidates(now, service), scale: 1, sharers: max(1, c.sharers[service]), short: c.requesting(service)}
+	s := &supply{candidates: c.candidates(now, service), scale: 1, sharers: max(1, c.sharers[service]), freshOnly: c.requesting(service)}
 	for i := range s.candidates {
 		w := s.candidates[i].w
 		s.cores += c.coresOf(w)
 		if c.reportsWaiting(now, w) {
-			s.fresh++
+			s.reporting++
 			s.age = max(s.age, now.Sub(w.heardAt))
 		}
 	}
@@ -34,11 +34,11 @@
 	return s
 }
 
-// evenShare returns our even share of the cores, in thousandths.
+// evenShare returns this coordinator's even share of the cores, in thousandths.
 func (s *supply) evenShare() float64 { return s.cores * s.scale / s.sharers }
 
-// coresOf returns the worker's thousandths of a core, as many as servers of the usual speed
-// would need for the same.
+// coresOf returns the worker's cores in thousandths, as the number that servers of usual speed would
+// need for the same work.
 func (c *Core) coresOf(w *worker) float64 {
 	cores := float64(w.identity.Capacity.CPU)
 	if c.cfg.Load.PlaceBySpeed {
@@ -47,21 +47,22 @@
 	return cores
 }
 
-// staleHeartbeats is how many heartbeats old a word of what waits may be.
+// staleHeartbeats is the age, in heartbeat intervals, beyond which a report of waiting work is stale.
 const staleHeartbeats = 2
 
-// reportsWaiting returns whether it is known of late what waits at the worker for others.
+// reportsWaiting returns whether the worker has lately reported the work that waits there for other
+// coordinators.
 func (c *Core) reportsWaiting(now time.Time, w *worker) bool {
 	return c.cfg.Load.AdmitByAll && c.cfg.Load.AskForRoom && now.Sub(w.heardAt) <= staleHeartbeats*c.cfg.Heartbeat
 }
 
-// startable returns how many of the tasks could begin at once, of which each takes need, with
-// taken thousandths of a core used by others before them.
+// startable returns how many tasks that each take need could start at once, after others have used
+// taken thousandths of a core. The workers are those that the constraints of t allow.
 func (s *supply) startable(t *task, need durable.Resources, taken float64) int64 {
 	n := int64(0)
 	for i := range s.candidates {
 		cand := &s.candidates[i]
-		if s.short && !cand.fresh || !allowedOn(t, cand.w) {
+		if s.freshOnly && !cand.fresh || !allowedOn(t, cand.w) {
 			continue
 		}
 		n += need.Times(cand.free)
@@ -69,31 +70,33 @@
 	return n - int64(taken/float64(max(1, need.CPU)))
 }
 
-// workElsewhere returns the work that waits elsewhere and has its turn before: what workers told, and
-// where that is not known, as much for each other coordinator as own, ours.
-func (c *Core) workElsewhere(now time.Time, s *supply, turn time.Time, own float64) float64 {
-	told, stale := 0.0, len(s.candidates)-s.fresh
+// workElsewhere returns the work that waits at other coordinators and has an earlier virtual
+// deadline than the given one. It is what workers have reported; for workers without a recent report,
+// each other coordinator is taken to have as much as this one, which is own.
+func (c *Core) workElsewhere(now time.Time, s *supply, deadline time.Time, own float64) float64 {
+	reported, stale := 0.0, len(s.candidates)-s.reporting
 	for i := range s.candidates {
 		w := s.candidates[i].w
 		if !c.reportsWaiting(now, w) {
 			continue
 		}
 		for k := range w.status.Waiting {
-			told += w.waitingBefore(k, turn)
+			reported += w.waitingBefore(k, deadline)
 		}
 	}
 	even := own * (s.sharers - 1) * float64(stale) / float64(max(1, len(s.candidates)))
-	return told*s.scale + even
+	return reported*s.scale + even
 }
 
-// waitingBefore returns the work of the worker's k-th span that has its turn before, in thousandths
-// of a core times nanoseconds. Between the first and the last turn it is taken to be even.
-func (w *worker) waitingBefore(k int, turn time.Time) float64 {
-	span := &w.status.Waiting[k]
-	work := float64(span.Work) * float64(time.Millisecond)
-	first := w.heardAt.Add(time.Duration(span.FirstMS) * time.Millisecond)
-	length := time.Duration(span.LastMS-span.FirstMS) * time.Millisecond
-	since := turn.Sub(first)
+// waitingBefore returns the part of the k-th row of waiting work in the worker's status that has an
+// earlier virtual deadline than the given one, in thousandths of a core times nanoseconds. The work
+// is taken to be spread evenly between the row's first and last virtual deadlines.
+func (w *worker) waitingBefore(k int, deadline time.Time) float64 {
+	row := &w.status.Waiting[k]
+	work := float64(row.Work) * float64(time.Millisecond)
+	first := w.heardAt.Add(time.Duration(row.FirstMS) * time.Millisecond)
+	length := time.Duration(row.LastMS-row.FirstMS) * time.Millisecond
+	since := deadline.Sub(first)
 	switch {
 	case since < 0:
 		return 0
@@ -103,35 +106,35 @@
 	return work * float64(since) / float64(length)
 }
 
-// Forecast is how long a job is thought to wait, and what for.
+// Forecast is how long a job is expected to wait, and for which work.
 type Forecast struct {
 	Class   int           // of the job; 0 is the most urgent
-	Own     time.Duration // for work that waits at this coordinator
-	Others  time.Duration // for work that waits at others
-	Later   time.Duration // for work that will come, and come first
-	Age     time.Duration // of the oldest word of what waits at others
-	Unknown int           // workers of which there is no fresh word of it
-	Allowed time.Duration // how long it may wait
+	Own     time.Duration // wait for work that is queued at this coordinator
+	Others  time.Duration // wait for work that is queued at other coordinators
+	Later   time.Duration // wait for work that has yet to arrive and will precede the job
+	Age     time.Duration // of the oldest report of the work at other coordinators
+	Unknown int           // number of workers without a recent report of that work
+	Allowed time.Duration // how long the job may wait
 }
 
-// Wait returns how long the job is thought to wait.
+// Wait returns how long the job is expected to wait in all.
 func (f *Forecast) Wait() time.Duration { return f.Own + f.Others + f.Later }
 
-// forecast returns how long the job will wait whose first task is t, with own work before it
-// here, in thousandths of a core times nanoseconds.
+// forecast returns how long a job whose first task is t is expected to wait, given the own work that
+// precedes it at this coordinator, in thousandths of a core times nanoseconds.
 func (c *Core) forecast(now time.Time, s *supply, t *task, own float64) Forecast {
-	turn := t.virtualDeadline()
+	deadline := t.virtualDeadline()
 	cores := s.cores * s.scale
 	f := Forecast{
 		Class:   t.job.class,
 		Own:     time.Duration(own / cores),
-		Others:  time.Duration(c.workElsewhere(now, s, turn, own) / cores),
+		Others:  time.Duration(c.workElsewhere(now, s, deadline, own) / cores),
 		Age:     s.age,
-		Unknown: len(s.candidates) - s.fresh,
+		Unknown: len(s.candidates) - s.reporting,
 	}
 	if c.cfg.Load.AdmitByAll {
-		a := c.arrivalsBefore(now, t.job, turn, s.evenShare())
-		f.Later = min(time.Duration(float64(f.Own+f.Others)*a.share/(1-a.share)), a.most)
+		a := c.arrivalsBefore(now, t.job, deadline, s.evenShare())
+		f.Later = min(time.Duration(float64(f.Own+f.Others)*a.share/(1-a.share)), a.limit)
 	}
 	return f
 }
--- a/jobs/scheduler/giveup.go
+++ b/jobs/scheduler/giveup.go
@@ -10,21 +10,21 @@
 	"github.com/lichenfall/lichenfall/lib/ordered"
 )
 
-// giveUpShare is the share of a caller's time after which a job that has not
-// begun is given up, so that the caller can still try elsewhere.
+// giveUpShare is the share of a caller's time budget after which a job that has not begun is refused,
+// so that the caller has time to try another coordinator.
 const giveUpShare = 0.4
 
-// Why a job that had not begun was refused after all, besides reasonTooLong.
+// Reasons for which a job that has not begun is refused after it was admitted; reasonTooLong is another.
 const (
-	reasonTooLate      = "too_late"      // it could only be late
-	reasonCallerTime   = "caller_time"   // its caller shall have time to try elsewhere
-	reasonGaveWay      = "gave_way"      // to a job of a more urgent class
-	reasonUntold       = "untold"        // others were not told of it in time, and may have a copy
-	reasonAllEvacuated = "all_evacuated" // no data centre is left to start anything in
+	reasonTooLate      = "too_late"      // it would be late if it began now
+	reasonCallerTime   = "caller_time"   // startTimeout has passed; its caller needs the rest of its time to try another coordinator
+	reasonGaveWay      = "gave_way"      // it was evicted for a job of a more urgent class
+	reasonUntold       = "untold"        // it was not announced in time, and another coordinator may run it for a resent call
+	reasonAllEvacuated = "all_evacuated" // all data centres are evacuated, so nothing can be started
 )
 
-// startTimeout returns how long a job may wait to begin: while its answer is still
-// of use, and the caller has time to try again.
+// startTimeout returns how long a job may wait to begin: as long as its answer can still be of use, and
+// no longer than giveUpShare of the caller's budget. A budget of 0 is unknown.
 func startTimeout(j *job, now time.Time, budget time.Duration) time.Duration {
 	useful := j.uselessAt.Sub(now) - j.longest
 	if budget > 0 {
@@ -33,9 +33,9 @@
 	return useful
 }
 
-// giveUpUseless refuses best-effort jobs that have not begun in time, and cancels
-// those that have begun and whose answer is of no use any more. Their callers are
-// answered at once. serving says whether any worker takes tasks.
+// giveUpUseless refuses best-effort jobs that have not begun in time, and cancels those that have begun
+// but whose answer is of no use any more. Their callers get a reply at once. serving says whether any
+// worker takes tasks.
 func (c *Core) giveUpUseless(now time.Time, serving bool) {
 	supplies := make(map[string]*supply)
 	for _, j := range ordered.Values(c.bestEffort) {
@@ -52,9 +52,9 @@
 	}
 }
 
-// couldStart returns whether there is room for all that could begin of the job, and of what
-// comes before it: that it has not begun is a fault, which is noted. supplies are those that have
-// been looked at in this tick.
+// couldStart returns whether there is free capacity for all tasks of the job that could begin at once,
+// and for all tasks that precede it. That the job has not begun is then a fault, which is logged.
+// supplies caches the supply of each service during one Tick.
 func (c *Core) couldStart(now time.Time, supplies map[string]*supply, j *job) bool {
 	t, service := j.firstReady(), j.sub.Queue.Service
 	if t == nil {
@@ -66,19 +66,21 @@
 	return c.fitsNow(supplies[service], t, c.coresAhead(t))
 }
 
-// fitsNow returns, and notes, whether there is room for all that could begin of the task's
-// job, and for so many thousandths of a core before it.
-func (c *Core) fitsNow(s *supply, t *task, before float64) bool {
+// fitsNow returns whether there is free capacity for all tasks of the task's job that could begin at
+// once, after others have used ahead thousandths of a core. If there is, it logs the fault that the
+// job was about to be refused.
+func (c *Core) fitsNow(s *supply, t *task, ahead float64) bool {
 	need, tasks := initialTasks(t.job)
-	if tasks > s.startable(t, need, before) {
+	if tasks > s.startable(t, need, ahead) {
 		return false
 	}
 	c.note(Note{What: RefusalBesideRoom, Job: t.job.id, Measure: WaitingTasks, Value: tasks, Frequent: true})
 	return true
 }
 
-// coresAhead returns the thousandths of a core of what waits here before an overdue task, or
-// beside it.
+// coresAhead returns the thousandths of a core that the queued tasks on time of the same service need.
+// All of them precede an overdue task. The task is one of them itself until dispatch moves it to the
+// overdue ones.
 func (c *Core) coresAhead(t *task) float64 {
 	cores := 0.0
 	for _, o := range c.readyOf(t.job.sub.Queue.Service).onTime.tasks {
@@ -87,25 +89,26 @@
 	return cores
 }
 
-// wouldBeLate returns whether a job that begins now will be late. While workers take
-// tasks there are others that can still be in time, and they get the room. While none does, a
-// late answer is the best that there is.
+// wouldBeLate returns whether the job would be late if it began now. While workers take tasks, such a
+// job is refused so that others which can be in time get the capacity. While no worker does, a late
+// answer is the best that the job can get.
 func (j *job) wouldBeLate(now time.Time) bool { return now.After(j.due.Add(-j.longest)) }
 
-// review is when the queue of a service was last judged anew, and by what cores.
+// review is when the queue of a service was last reviewed, and the cores at that time.
 type review struct {
 	at    time.Time
 	cores float64 // thousandths
 }
 
-// The queue is judged anew when the cores have changed by this share, and after this time.
+// A queue is reviewed when the service's cores have changed by reviewChange, and otherwise every
+// reviewInterval.
 const (
 	reviewChange   = 0.05 // share of the cores
 	reviewInterval = 100 * time.Millisecond
 )
 
-// reviewQueues refuses the jobs that have not begun and cannot begin in time any more, by what
-// comes before them, though their time is not over.
+// reviewQueues refuses admitted jobs that have not begun and, given the work that precedes them, are no
+// longer expected to begin in time, even before their due time has passed.
 func (c *Core) reviewQueues(now time.Time) {
 	if !c.cfg.Load.AdmitByAll || c.anyUnreported(now) {
 		return
@@ -124,7 +127,7 @@
 	}
 }
 
-// availableCores returns the cores of the workers that take tasks, at their speed, in thousandths.
+// availableCores returns the thousandths of a core of the workers that take tasks, weighted by speed.
 func (c *Core) availableCores(now time.Time, service string) float64 {
 	cores := 0.0
 	for _, w := range c.eligible {
@@ -135,17 +138,17 @@
 	return cores
 }
 
-// reviewQueue goes through what waits in its order. Who waits for too much is refused, or has
-// jobs of later classes give way, and is nothing that the next wait for.
+// reviewQueue reviews the tasks on time of a service in their order. A job that would wait too long is
+// refused, and doesn't count as work that precedes later ones.
 func (c *Core) reviewQueue(now time.Time, service string) {
 	s := c.supplyOf(now, service)
 	if s.cores == 0 {
 		return
 	}
-	work, cores := 0.0, 0.0 // of what comes before
+	work, cores := 0.0, 0.0 // of the tasks before
 	for _, t := range c.inOrder(service) {
 		if t.position < 0 {
-			continue // refused
+			continue // refused in this review
 		}
 		if t.job.mayBeRefused() && t == t.job.firstReady() && !c.keepOrRefuse(now, s, t, work, cores) {
 			continue
@@ -155,7 +158,8 @@
 	}
 }
 
-// keepOrRefuse returns whether a job that has not begun may go on waiting; it is refused otherwise.
+// keepOrRefuse returns whether a job that has not begun stays queued: it is expected to begin by its due
+// time, or fits into the free capacity now. Otherwise it refuses the job.
 func (c *Core) keepOrRefuse(now time.Time, s *supply, t *task, work, cores float64) bool {
 	f := c.forecast(now, s, t, work)
 	f.Allowed = t.due.Sub(now)
@@ -169,7 +173,7 @@
 	return false
 }
 
-// inOrder returns the tasks that are on time, in their order.
+// inOrder returns the service's tasks on time, in the order of their virtual deadlines.
 func (c *Core) inOrder(service string) []*task {
 	tasks := slices.Clone(c.readyOf(service).onTime.tasks)
 	slices.SortFunc(tasks, func(a, b *task) int {
@@ -181,7 +185,7 @@
 	return tasks
 }
 
-// refuseUnstarted refuses a job none of whose tasks has begun: it has not run.
+// refuseUnstarted refuses an admitted job that has not begun, and tells its callers that it has not run.
 func (c *Core) refuseUnstarted(now time.Time, j *job, why string, f *Forecast) {
 	c.retractAdmitted(now, j)
 	c.note(Note{What: JobGivenUp, Job: j.id, Reason: why, Measure: JobAgeMS, Value: j.age(now), Forecast: f})
@@ -195,7 +199,7 @@
 	c.active--
 }
 
-// cancelUseless ends a job that has begun and whose answer is of no use any more.
+// cancelUseless cancels a job that has begun and whose answer is of no use any more.
 func (c *Core) cancelUseless(now time.Time, j *job) {
 	for _, call := range j.calls {
 		c.fail(call, j.id, failure.DeadlineWhileRunning)
--- a/jobs/scheduler/recentwork.go
+++ b/jobs/scheduler/recentwork.go
@@ -7,33 +7,34 @@
 	"time"
 )
 
-// recentWork is the work of one queue that came of late: sums that fade.
+// recentWork holds sums over the recent work of one queue. They decay exponentially with decayTime,
+// so that each is a rate times decayTime.
 type recentWork struct {
-	queue   string
-	class   int
-	at      time.Time // until when it has decay
-	offered float64   // thousandths of a core x nanoseconds
-	taken   float64   // the same, of what was neither refused nor late
-	turns   float64   // offered work x nanoseconds from its coming to its turn
+	queue    string
+	class    int
+	at       time.Time // up to when the sums have decayed
+	offered  float64   // work that was submitted, in thousandths of a core times nanoseconds
+	admitted float64   // the part of it that was neither refused nor late
+	slack    float64   // offered work times the nanoseconds from its arrival to its virtual deadline
 }
 
-// decayTime is over how long flows fade to 1/e.
+// decayTime is the time in which the sums decay to 1/e.
 const decayTime = time.Second
 
-// decay returns what is left of 1 after a while.
+// decay returns the factor by which a sum decays in the time.
 func decay(d time.Duration) float64 { return math.Exp(-float64(d) / float64(decayTime)) }
 
-func (f *recentWork) decayTo(now time.Time) {
-	if now.Equal(f.at) {
+func (r *recentWork) decayTo(now time.Time) {
+	if now.Equal(r.at) {
 		return
 	}
-	keep := decay(now.Sub(f.at))
-	f.offered, f.taken, f.turns = keep*f.offered, keep*f.taken, keep*f.turns
-	f.at = now
+	keep := decay(now.Sub(r.at))
+	r.offered, r.admitted, r.slack = keep*r.offered, keep*r.admitted, keep*r.slack
+	r.at = now
 }
 
-// turn returns how long after a job's coming its turn is, on the average.
-func (f *recentWork) turn() time.Duration { return time.Duration(f.turns / max(1, f.offered)) }
+// meanSlack returns the mean time from a job's arrival to its virtual deadline, weighted by work.
+func (r *recentWork) meanSlack() time.Duration { return time.Duration(r.slack / max(1, r.offered)) }
 
 // work returns the job's work, in thousandths of a core times nanoseconds.
 func (j *job) work() float64 {
@@ -45,70 +46,75 @@
 	return work
 }
 
-// recentWorkOf returns what came of late of the job's queue.
+// recentWorkOf returns the recent work of the job's queue.
 func (c *Core) recentWorkOf(now time.Time, j *job) *recentWork {
-	flows := c.recent[j.sub.Queue.Service]
-	at, known := slices.BinarySearchFunc(flows, j.sub.Queue.Name, func(f *recentWork, queue string) int {
-		return cmp.Compare(f.queue, queue)
+	queues := c.recent[j.sub.Queue.Service]
+	at, known := slices.BinarySearchFunc(queues, j.sub.Queue.Name, func(r *recentWork, queue string) int {
+		return cmp.Compare(r.queue, queue)
 	})
 	if !known {
-		flows = slices.Insert(flows, at, &recentWork{queue: j.sub.Queue.Name, at: now})
-		c.recent[j.sub.Queue.Service] = flows
+		queues = slices.Insert(queues, at, &recentWork{queue: j.sub.Queue.Name, at: now})
+		c.recent[j.sub.Queue.Service] = queues
 	}
-	f := flows[at]
-	f.class = c.cfg.Load.class(j.sub.Queue.Priority)
-	f.decayTo(now)
-	return f
+	r := queues[at]
+	r.class = c.cfg.Load.class(j.sub.Queue.Priority)
+	r.decayTo(now)
+	return r
 }
 
-// negligibleWork is the offered work that counts for nothing any more: a core for a nanosecond.
+// negligibleWork is the offered work below which a queue is forgotten: a core for a nanosecond.
 const negligibleWork = 1000
 
-// recentWorkNow returns what came of late, by queue, and forgets queues to which nothing came.
+// recentWorkNow returns the recent work of the service's queues, and forgets queues without any.
 func (c *Core) recentWorkNow(now time.Time, service string) []*recentWork {
-	flows := slices.DeleteFunc(c.recent[service], func(f *recentWork) bool {
-		f.decayTo(now)
-		return f.offered < negligibleWork
+	queues := slices.DeleteFunc(c.recent[service], func(r *recentWork) bool {
+		r.decayTo(now)
+		return r.offered < negligibleWork
 	})
-	c.recent[service] = flows
-	return flows
+	c.recent[service] = queues
+	return queues
 }
 
-// noteOffered notes that a job has come.
+// noteOffered adds a job that has arrived to the offered work of its queue.
 func (c *Core) noteOffered(now time.Time, j *job) {
-	f, work := c.recentWorkOf(now, j), j.work()
-	f.offered += work
-	f.turns += work * float64(j.tasks[0].virtualDeadline().Sub(now))
+	r, work := c.recentWorkOf(now, j), j.work()
+	r.offered += work
+	r.slack += work * float64(j.tasks[0].virtualDeadline().Sub(now))
 }
 
-// noteAdmitted notes that a job has been let in; given that it was refused after all, or was late.
-func (c *Core) noteAdmitted(now time.Time, j *job) { c.recentWorkOf(now, j).taken += j.work() }
+// noteAdmitted adds a job to the admitted work of its queue.
+func (c *Core) noteAdmitted(now time.Time, j *job) { c.recentWorkOf(now, j).admitted += j.work() }
 
+// retractAdmitted removes an admitted job, which was refused later or ended late, from the admitted
+// work of its queue.
 func (c *Core) retractAdmitted(now time.Time, j *job) {
-	f := c.recentWorkOf(now, j)
-	f.taken = max(0, f.taken-j.work()*decay(now.Sub(j.received)))
+	r := c.recentWorkOf(now, j)
+	r.admitted = max(0, r.admitted-j.work()*decay(now.Sub(j.received)))
 }
 
-// How much of a class is taken at least, as a share of the class of which most is: of the last
-// nearly as much, of each before it a little more.
+// The least share of its offered work that a class should have admitted, as a part of the same share
+// of the class for which it is highest. It is nearly that for the last class and a little more for
+// each class before it.
 const (
-	minShareOfBest = 0.9  // of the last class
-	minShareStep   = 0.05 // more of each class before it
+	minShareOfBest = 0.9  // for the last class
+	minShareStep   = 0.05 // added for each class before it
 )
 
-// underserved returns whether of the job's class too little has been taken of late: with half of
-// the job less than its least, and without it less than of any more urgent class and than an even
-// part among the classes that ask of ours, our share of the capacity in thousandths of a core. So a
-// class that asks for more pays for it itself, and none is served better than a more urgent one.
-func (c *Core) underserved(now time.Time, j *job, ours float64) bool {
+// underserved returns whether too little work of the job's class was admitted recently. It is, if
+// with half of the job the class stays below its least share (minShareOfBest), and without the job
+// both below the share of every more urgent class and below an even part, among the classes that
+// offer work, of ownCores: this coordinator's share of the capacity in thousandths of a core. So a
+// class that offers more work bears the refusals for it, and no class is served better than a more
+// urgent one.
+func (c *Core) underserved(now time.Time, j *job, ownCores float64) bool {
 	class := j.class
 	if !c.cfg.Load.OrderByPriority || class == 0 {
 		return false
 	}
-	var offered, taken [lastClass + 1]float64
-	for _, f := range c.recentWorkNow(now, j.sub.Queue.Service) {
-		offered[f.class] += f.offered
-		taken[f.class] += f.taken
+	var offered, admitted [lastClass + 1]float64
+	for _, r := range c.recentWorkNow(now, j.sub.Queue.Service) {
+		offered[r.class] += r.offered
+		admitted[r.class] += r.admitted
 	}
 	best, urgent, classes := 0.0, 1.0, 0.0
 	for k := range offered {
@@ -116,52 +122,53 @@
 			continue
 		}
 		classes++
-		best = max(best, taken[k]/offered[k])
+		best = max(best, admitted[k]/offered[k])
 		if k < class {
-			urgent = min(urgent, taken[k]/offered[k])
+			urgent = min(urgent, admitted[k]/offered[k])
 		}
 	}
-	even := ours * float64(decayTime) / max(1, classes)
+	even := ownCores * float64(decayTime) / max(1, classes)
 	least := minShareOfBest + minShareStep*float64(lastClass-class)
-	return taken[class]+j.work()/2 <= least*best*offered[class] && taken[class] < min(urgent*offered[class], even)
+	return admitted[class]+j.work()/2 <= least*best*offered[class] && admitted[class] < min(urgent*offered[class], even)
 }
 
-// arrivals is the work that will come and has its turn before a job's.
+// arrivals is the work that is expected to arrive and to precede a job.
 type arrivals struct {
-	share float64       // of the capacity, while any of it comes
-	most  time.Duration // what all of it takes on the capacity
+	share float64       // of the capacity that it takes while it arrives
+	limit time.Duration // the time that all of it takes on the whole capacity
 }
 
-// minOwnShare is the share of our part of the capacity from which on what we have taken tells
-// what is taken at all coordinators.
+// minOwnShare is the least part of this coordinator's share of the capacity that is taken for the
+// work admitted here. From less work the mix at all coordinators can't be estimated.
 const minOwnShare = 0.25
 
-// maxArrivalShare bounds the share of the capacity that what comes may be thought to take.
+// maxArrivalShare bounds the share of the capacity that arrivals are expected to take.
 const maxArrivalShare = 0.8
 
-// arrivalsBefore returns what will come before the turn, by what came of late: of the same and
-// later classes what was taken, of more urgent ones what was offered, as shares of all that was
-// taken here: others are thought to get the same mix, however many callers each has. ours is our
-// share of the capacity, in thousandths of a core.
-func (c *Core) arrivalsBefore(now time.Time, j *job, turn time.Time, ours float64) arrivals {
-	flows := c.recentWorkNow(now, j.sub.Queue.Service)
+// arrivalsBefore returns the work that is expected to arrive and to have an earlier virtual deadline
+// than the given one. It follows recent work: the offered work of more urgent classes, and the
+// admitted work of the same and later classes, each divided by all work that was admitted here. Other
+// coordinators are taken to get the same mix, however many callers each has. ownCores is this
+// coordinator's share of the capacity, in thousandths of a core.
+func (c *Core) arrivalsBefore(now time.Time, j *job, deadline time.Time, ownCores float64) arrivals {
+	queues := c.recentWorkNow(now, j.sub.Queue.Service)
 	total := 0.0
-	for _, f := range flows {
-		total += f.taken
+	for _, r := range queues {
+		total += r.admitted
 	}
-	total = max(total, minOwnShare*ours*float64(decayTime), 1)
+	total = max(total, minOwnShare*ownCores*float64(decayTime), 1)
 	var a arrivals
-	for _, f := range flows {
-		window := turn.Sub(now) - f.turn()
+	for _, r := range queues {
+		window := deadline.Sub(now) - r.meanSlack()
 		if window <= 0 {
 			continue
 		}
-		work := f.taken
-		if f.class < j.class {
-			work = f.offered
+		work := r.admitted
+		if r.class < j.class {
+			work = r.offered
 		}
 		a.share += work / total
-		a.most += time.Duration(work / total * float64(window))
+		a.limit += time.Duration(work / total * float64(window))
 	}
 	a.share = min(a.share, maxArrivalShare)
 	return a
