--- a/jobs/scheduler/candidates.go
+++ b/jobs/scheduler/candidates.go
@@ -46,7 +46,7 @@
 // takesTasks returns whether the worker is connected, has sent a status within Settings.Suspect, and
 // reports that it takes tasks.
 func (c *Core) takesTasks(now time.Time, w *worker) bool {
-	return w.up && w.status.Ready && now.Sub(w.heardAt) <= c.cfg.Suspect
+	return w.up && w.status.Ready && now.Sub(w.statusAt) <= c.cfg.Suspect
 }
 
 // free returns the worker's free capacity: what its last status reports, less the needs of the runs
--- a/jobs/scheduler/capacityrequests.go
+++ b/jobs/scheduler/capacityrequests.go
@@ -99,7 +99,7 @@
 }
 
 // fresh returns whether the worker's status is at most freshFor old.
-func (w *worker) fresh(now time.Time) bool { return now.Sub(w.heardAt) < freshFor }
+func (w *worker) fresh(now time.Time) bool { return now.Sub(w.statusAt) < freshFor }
 
 // requestCapacity requests capacity for the tasks of a service that dispatch could not order, and
 // withdraws the requests once none are left.
--- a/jobs/scheduler/forecast.go
+++ b/jobs/scheduler/forecast.go
@@ -25,7 +25,7 @@
 		s.cores += c.coresOf(w)
 		if c.reportsWaiting(now, w) {
 			s.reporting++
-			s.age = max(s.age, now.Sub(w.heardAt))
+			s.age = max(s.age, now.Sub(w.statusAt))
 		}
 	}
 	if n := len(c.eligible); n > maxCandidates {
@@ -53,7 +53,7 @@
 // reportsWaiting returns whether the worker has lately reported the work that waits there for other
 // coordinators.
 func (c *Core) reportsWaiting(now time.Time, w *worker) bool {
-	return c.cfg.Load.AdmitByAll && c.cfg.Load.AskForRoom && now.Sub(w.heardAt) <= staleHeartbeats*c.cfg.Heartbeat
+	return c.cfg.Load.AdmitByAll && c.cfg.Load.AskForRoom && now.Sub(w.statusAt) <= staleHeartbeats*c.cfg.Heartbeat
 }
 
 // startable returns how many tasks that each take need could start at once, after others have used
@@ -65,7 +65,7 @@
 		if s.freshOnly && !cand.fresh || !allowedOn(t, cand.w) {
 			continue
 		}
-		n += need.Times(cand.free)
+		n += need.CountIn(cand.free)
 	}
 	return n - int64(taken/float64(max(1, need.CPU)))
 }
@@ -94,7 +94,7 @@
 func (w *worker) waitingBefore(k int, deadline time.Time) float64 {
 	row := &w.status.Waiting[k]
 	work := float64(row.Work) * float64(time.Millisecond)
-	first := w.heardAt.Add(time.Duration(row.FirstMS) * time.Millisecond)
+	first := w.statusAt.Add(time.Duration(row.FirstMS) * time.Millisecond)
 	length := time.Duration(row.LastMS-row.FirstMS) * time.Millisecond
 	since := deadline.Sub(first)
 	switch {
--- a/jobs/scheduler/giveup.go
+++ b/jobs/scheduler/giveup.go
@@ -26,7 +26,7 @@
 // startTimeout returns how long a job may wait to begin: as long as its answer can still be of use, and
 // no longer than giveUpShare of the caller's budget. A budget of 0 is unknown.
 func startTimeout(j *job, now time.Time, budget time.Duration) time.Duration {
-	useful := j.uselessAt.Sub(now) - j.longest
+	useful := j.uselessAt.Sub(now) - j.criticalPath
 	if budget > 0 {
 		useful = min(useful, time.Duration(giveUpShare*float64(budget)))
 	}
@@ -92,7 +92,7 @@
 // wouldBeLate returns whether the job would be late if it began now. While workers take tasks, such a
 // job is refused so that others which can be in time get the capacity. While no worker does, a late
 // answer is the best that the job can get.
-func (j *job) wouldBeLate(now time.Time) bool { return now.After(j.due.Add(-j.longest)) }
+func (j *job) wouldBeLate(now time.Time) bool { return now.After(j.due.Add(-j.criticalPath)) }
 
 // review is when the queue of a service was last reviewed, and the cores at that time.
 type review struct {
--- a/jobs/scheduler/placement.go
+++ b/jobs/scheduler/placement.go
@@ -23,7 +23,7 @@
 	bestScore := 0.0
 	for i := range workers {
 		cand := &workers[i]
-		if !f.t.canStart(cand) || c.cfg.Load.AskForRoom && f.t.rejected && !cand.fresh {
+		if !f.t.canStart(cand) || c.cfg.Load.AskForRoom && f.t.handedBack && !cand.fresh {
 			continue
 		}
 		if score := c.score(f, cand); best == nil || score > bestScore {
--- a/jobs/scheduler/ready.go
+++ b/jobs/scheduler/ready.go
@@ -84,12 +84,12 @@
 
 // readyTasks queues the job's tasks whose steps depend on nothing that is not done.
 func (c *Core) readyTasks(now time.Time, j *job) {
-	if !j.accepted || j.unsettled || j.state.Final() {
+	if !j.accepted || j.reconciling || j.state.Final() {
 		return
 	}
 	for i := range j.tasks {
 		t := &j.tasks[i]
-		if t.state == taskBlocked && j.open(t.step) {
+		if t.state == taskBlocked && j.dependenciesDone(t.step) {
 			t.state = taskReady
 			c.enqueue(now, t)
 		}
@@ -102,7 +102,7 @@
 	if t.job.state.Final() || t.position >= 0 {
 		return
 	}
-	if t.job.unsettled {
+	if t.job.reconciling {
 		t.state = taskBlocked
 		return
 	}
--- a/jobs/worker/worker.go
+++ b/jobs/worker/worker.go
@@ -31,7 +31,7 @@
 // within its context.
 type Backend interface {
 	// Identify asks which life answers; ok is false when none does.
-	Identify(ctx context.Context) (life runtable.Life, ok bool)
+	Identify(ctx context.Context) (life runtable.Incarnation, ok bool)
 	Start(ctx context.Context, c runtable.StartCall) runtable.StartResult
 	// Stop returns whether the order was answered.
 	Stop(ctx context.Context, c runtable.StopCall) bool
@@ -64,8 +64,8 @@
 	end      context.CancelFunc
 	renewNow chan struct{} // a renewal is wanted at once
 
-	register chan *store.Backend // to be registered; holds the newest
-	keeper   *registration.Keeper
+	register  chan *store.Backend // to be registered; holds the newest
+	registrar *registration.Registrar
 }
 
 const (
@@ -109,19 +109,19 @@
 
 func newWorker(cfg *config.Worker, b Backend, s store.Store, m *metrics.Jobs, log *logging.Log, steady *clock.Clock) *Worker {
 	return &Worker{
-		cfg:      cfg,
-		clock:    steady,
-		log:      log,
-		backend:  b,
-		store:    s,
-		metrics:  m,
-		loop:     loop.New[event](backlog),
-		name:     cfg.Box.Name + "/" + uuid.NewString(),
-		table:    runtable.New(cfg.Runs.Core(cfg.Box.DataCentre), steady.Now()),
-		owners:   make(map[string]*peer.Conn),
-		renewNow: make(chan struct{}, 1),
-		register: make(chan *store.Backend, 1),
-		keeper:   registration.NewKeeper(s, log),
+		cfg:       cfg,
+		clock:     steady,
+		log:       log,
+		backend:   b,
+		store:     s,
+		metrics:   m,
+		loop:      loop.New[event](backlog),
+		name:      cfg.Box.Name + "/" + uuid.NewString(),
+		table:     runtable.New(cfg.Runs.Core(cfg.Box.DataCentre), steady.Now()),
+		owners:    make(map[string]*peer.Conn),
+		renewNow:  make(chan struct{}, 1),
+		register:  make(chan *store.Backend, 1),
+		registrar: registration.NewRegistrar(s, log),
 	}
 }
 
@@ -154,7 +154,7 @@
 func (w *Worker) Reported(r runtable.Report) { w.loop.Post(backendReported{r}) }
 
 // Deregistered takes the word of a life of the backend server that it ends.
-func (w *Worker) Deregistered(life runtable.Life) { w.loop.Post(backendDeregistered{life}) }
+func (w *Worker) Deregistered(life runtable.Incarnation) { w.loop.Post(backendDeregistered{life}) }
 
 // Close ends everything at once. What runs goes on under its lease.
 func (w *Worker) Close() {
