--- a/jobs/scheduler/admission.go
+++ b/jobs/scheduler/admission.go
@@ -16,7 +16,7 @@
 //	forecast.go    what precedes a job, here and at other coordinators, and how long it will wait
 //	admission.go   which jobs are admitted, and which are evicted for them
 //	giveup.go      which jobs are refused later, since capacity has shrunk or time has passed
-//	retryafter.go  when refused callers are told to come back
+//	retryafter.go  when refused callers may try again
 //	placement.go   which worker runs a task
 //
 // docs/design/0013 gives the reasons.
--- a/jobs/scheduler/besteffort.go
+++ b/jobs/scheduler/besteffort.go
@@ -46,7 +46,7 @@
 	c.readyTasks(now, j)
 }
 
-// Abandon tells the core that a caller no longer waits for the job. A best-effort job without callers
+// Abandon records that a caller no longer waits for the job. A best-effort job without callers
 // is cancelled.
 func (c *Core) Abandon(now time.Time, call Call, id durable.JobID) {
 	delete(c.callers, call)
@@ -60,7 +60,7 @@
 	}
 }
 
-// SetEarliestSent tells the core that the caller may have sent the best-effort job as early as the
+// SetEarliestSent records that the caller may have sent the best-effort job as early as the
 // given time. The earliest such time is kept.
 func (c *Core) SetEarliestSent(id durable.JobID, earliest time.Time) {
 	if j := c.bestEffort[id]; j != nil && earliest.Before(j.sent) {
@@ -70,7 +70,7 @@
 
 // GiveUpUnannounced ends a best-effort job that could not be announced to the other coordinators in
 // time, since another of them may run the job for a resent call. A job that has not begun is refused;
-// the callers of one that has are told that its outcome is unknown.
+// the callers of one that has get the error that its outcome is unknown.
 func (c *Core) GiveUpUnannounced(now time.Time, id durable.JobID) {
 	j := c.bestEffort[id]
 	if j == nil {
@@ -88,7 +88,7 @@
 }
 
 // BestEffortOlderThan returns the IDs of the best-effort jobs that may have been sent at least age ago,
-// sorted. It includes jobs that have ended while runs of theirs may still go on.
+// sorted. It includes jobs that have ended while they have outstanding runs.
 func (c *Core) BestEffortOlderThan(now time.Time, age time.Duration) []durable.JobID {
 	var out []durable.JobID
 	for id, j := range c.bestEffort {
--- a/jobs/scheduler/capacityrequests.go
+++ b/jobs/scheduler/capacityrequests.go
@@ -88,8 +88,8 @@
 
 // usable returns the part of the worker's free capacity that this coordinator may use. While this or
 // another coordinator requests capacity there, a status is used only while it is fresh, since the
-// capacity has probably been taken afterwards. Nor is it used after the worker has been told that it
-// is handled, since the worker then grants the rest to others.
+// capacity has probably been taken afterwards. Nor is it used after the worker has been notified that
+// it is handled, since the worker then grants the rest to others.
 func (w *worker) usable(now time.Time) durable.Resources {
 	contested := w.request.active || len(w.status.Waiting) > 0
 	if contested && (!w.fresh(now) || w.request.seenStamp == w.status.Stamp) {
@@ -148,7 +148,7 @@
 	return unused
 }
 
-// declineCapacity tells a worker at once that the capacity which it reported is not used. If that
+// declineCapacity notifies a worker at once that the capacity which it reported is not used. If that
 // capacity suffices for a task that waits, something else keeps the task from the worker, and a new
 // request would bring the same report. No request is then sent to it for unusedPause.
 func (c *Core) declineCapacity(now time.Time, w *worker, groups []waitingGroup) {
--- a/jobs/scheduler/classes_test.go
+++ b/jobs/scheduler/classes_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// byPriority returns the outcomes of the desk's kinds, the most urgent first.
+// byPriority returns the outcomes of the kinds in the order of their priorities, the most urgent first.
 func byPriority(kinds []kindOfJob, out []outcome) []outcome {
 	order := make([]int, len(kinds))
 	for i := range order {
@@ -21,15 +21,15 @@
 	return sorted
 }
 
-// logClasses shows what became of each kind.
+// logClasses logs the outcome of each kind.
 func logClasses(t *testing.T, kinds []kindOfJob, out []outcome) {
 	for i, k := range kinds {
 		t.Logf("%-8s priority %d: %.3f in time, %d refused of %d", k.name, k.priority, out[i].share(), out[i].refused, out[i].sent)
 	}
 }
 
-// checkClasses holds what callers are promised of classes: none is served worse than a later
-// one, and none half as well as the best.
+// checkClasses checks what callers are promised: no class is served worse than a later one, and none
+// gets less than half the share in time of the best.
 func checkClasses(t *testing.T, kinds []kindOfJob, out []outcome) {
 	logClasses(t, kinds, out)
 	checkOrder(t, byPriority(kinds, out), 0.02)
@@ -41,7 +41,7 @@
 	}
 }
 
-// checkOrder holds that no class is served worse than a later one by more than margin.
+// checkOrder checks that no class is served worse than a later one by more than margin.
 func checkOrder(t *testing.T, sorted []outcome, margin float64) {
 	for i := range sorted {
 		for k := i + 1; k < len(sorted); k++ {
@@ -57,7 +57,7 @@
 	return best.share()
 }
 
-// bursting returns the load of the desk in which these of its kinds burst.
+// bursting returns the claims desk's load in which the given kinds burst.
 func bursting(kinds ...int) loadSetting {
 	set := desk(deskKinds(0))
 	set.burst = func(kind int) float64 {
@@ -69,7 +69,7 @@
 	return set
 }
 
-// TestClassesBurst lets each class burst alone, each two together, and all.
+// TestClassesBurst checks the classes in bursts of one, two and all kinds.
 func TestClassesBurst(t *testing.T) {
 	const urgent, last, middle = 0, 1, 2
 	for _, c := range []struct {
@@ -91,15 +91,16 @@
 	}
 }
 
-// TestClassesOfManyCoordinators lets all classes burst where four coordinators with uneven
-// callers share the workers.
+// TestClassesOfManyCoordinators checks the classes in a burst of all kinds, where four coordinators
+// with unequal numbers of callers share the workers.
 func TestClassesOfManyCoordinators(t *testing.T) {
 	set := sharedDesk(4)
 	set.sharers = 4
 	checkClasses(t, set.kinds, playLoads(set).kinds)
 }
 
-// TestClassesThirdOfTheRoomGone evacuates a third of the room in the burst of all.
+// TestClassesThirdOfTheRoomGone checks the classes in a burst of all kinds, while a data centre with a
+// third of the capacity is evacuated.
 func TestClassesThirdOfTheRoomGone(t *testing.T) {
 	set := desk(deskKinds(0))
 	set.also = func(p *loadPlay, at time.Duration) {
@@ -110,8 +111,8 @@
 	checkClasses(t, set.kinds, playLoads(set).kinds)
 }
 
-// TestAllFitClasses holds that nothing is refused, and all is in time, where all fits, but for a run
-// or two that take longer than the objective by themselves.
+// TestAllFitClasses checks that no job is refused and 99 % are in time while the capacity suffices: a
+// run or two take longer than the objective by themselves.
 func TestAllFitClasses(t *testing.T) {
 	for _, coordinators := range []int{1, 4} {
 		set := bursting()
@@ -127,8 +128,9 @@
 	}
 }
 
-// TestClassFlood has one class ask for five times its work all the time. It pays for it, and the
-// others are left half of what the best gets, later ones no more than it.
+// TestClassFlood has one kind offer five times its work all the time. It checks that the classes keep
+// their order and that every other class gets at least half of the best share in time; a later class
+// need get no more than the flooding one.
 func TestClassFlood(t *testing.T) {
 	const margin = 0.06 // two standard deviations of a share of 300 jobs
 	for i, flood := range deskKinds(0) {
--- a/jobs/scheduler/placement.go
+++ b/jobs/scheduler/placement.go
@@ -40,7 +40,7 @@
 }
 
 // compatible returns whether the task may be sent to the candidate once that has capacity: the
-// step's constraints allow it, the worker is not ejected as an outlier, and for a kept job the store
+// step's constraints allow it, the worker is not ejected as an outlier, and for a durable job the store
 // has confirmed, since the worker connected, that this coordinator owns the job.
 func (t *task) compatible(cand *candidate) bool {
 	return (cand.w.confirmed || t.job.sub.BestEffort) && cand.w.identity.Capacity.CPU > 0 && !cand.ejected && allowedOn(t, cand.w)
--- a/jobs/scheduler/ready.go
+++ b/jobs/scheduler/ready.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// readyTasks queues the job's tasks whose steps depend on nothing that is not done.
+// readyTasks queues the job's tasks whose steps depend only on steps that are done.
 func (c *Core) readyTasks(now time.Time, j *job) {
 	if !j.accepted || j.reconciling || j.state.Final() {
 		return
@@ -96,7 +96,7 @@
 	}
 }
 
-// enqueue queues the task for a worker. It stays blocked while its job is unsettled, and is suspended
+// enqueue queues the task for a worker. It stays blocked while its job is being reconciled, and is suspended
 // while it waits to learn whether silent backend servers have crashed.
 func (c *Core) enqueue(now time.Time, t *task) {
 	if t.job.state.Final() || t.position >= 0 {
