--- a/jobs/scheduler/expected_test.go
+++ b/jobs/scheduler/expected_test.go
@@ -15,22 +15,22 @@
 
 var (
 	factors = []float64{0.6, 0.9, 1, 1.1, 1.6, 3}
-	slacks  = []float64{-0.5, 0.1, 0.3, 0.6, 1, 2} // of a task, in estimates
-	rooms   = []int64{0, 4000, 16000}
+	slacks  = []float64{-0.5, 0.1, 0.3, 0.6, 1, 2} // of a task, in multiples of its estimate
+	free    = []int64{0, 4000, 16000}
 	labels  = []string{rack, "r2"}
 )
 
-func placeOf(factor float64, room int64, label string) candidate {
+func candidateOf(factor float64, cpu int64, label string) candidate {
 	w := &worker{name: "w", identity: wire.BackendIdentity{Capacity: durable.Resources{CPU: 16000}, Labels: []string{label}}}
-	return candidate{w: w, factor: factor, free: durable.Resources{CPU: room}}
+	return candidate{w: w, factor: factor, free: durable.Resources{CPU: cpu}}
 }
 
-func allPlaces() []candidate {
+func allCandidates() []candidate {
 	var out []candidate
 	for _, factor := range factors {
-		for _, room := range rooms {
+		for _, cpu := range free {
 			for _, label := range labels {
-				out = append(out, placeOf(factor, room, label))
+				out = append(out, candidateOf(factor, cpu, label))
 			}
 		}
 	}
@@ -43,16 +43,16 @@
 	return &task{job: &job{sub: &durable.Submission{BestEffort: true}}, step: step, due: due}
 }
 
-func coreBySpeed(remote float64) *Core {
-	return New(Settings{StragglerX: 3, Load: LoadPolicy{PlaceBySpeed: true, RemoteFactor: remote}}, 1)
+func coreBySpeed(remoteFactor float64) *Core {
+	return New(Settings{StragglerX: 3, Load: LoadPolicy{PlaceBySpeed: true, RemoteFactor: remoteFactor}}, 1)
 }
 
-// TestLateIsChosenLast holds, over all pairs of places that differ by speed, rack and room
-// alone, that one where the task is late is taken only where the other has no room that
-// brings it in time, and then rather than none.
+// TestLateIsChosenLast checks all pairs of candidates that differ only in speed, rack and free
+// capacity: one where the task is late is chosen only if the task can't start on the other, or is at
+// risk there too. Some candidate is chosen if the task can start on any.
 func TestLateIsChosenLast(t *testing.T) {
 	now := time.Unix(1000, 0)
-	places := allPlaces()
+	candidates := allCandidates()
 	for _, remote := range []float64{1, 1.5, 3} {
 		c := coreBySpeed(remote)
 		for _, slack := range slacks {
@@ -60,8 +60,8 @@
 				tk := taskOf(now, 760, affinity, slack)
 				for _, weight := range []float64{-1, 0, 1} {
 					f := c.evaluatorFor(now, tk, &round{speedWeight: weight})
-					for _, a := range places {
-						for _, b := range places {
+					for _, a := range candidates {
+						for _, b := range candidates {
 							checkChoice(t, c, &f, []candidate{a, b})
 						}
 					}
@@ -71,34 +71,33 @@
 	}
 }
 
-// checkChoice checks which of the places is chosen.
-func checkChoice(t *testing.T, c *Core, f *evaluator, places []candidate) {
-	inTime, room := false, false
-	for i := range places {
-		if f.t.canStart(&places[i]) {
-			room = true
-			inTime = inTime || f.risk(&places[i]) == 0
+// checkChoice checks which of the candidates is chosen.
+func checkChoice(t *testing.T, c *Core, f *evaluator, candidates []candidate) {
+	inTime, startable := false, false
+	for i := range candidates {
+		if f.t.canStart(&candidates[i]) {
+			startable = true
+			inTime = inTime || f.risk(&candidates[i]) == 0
 		}
 	}
-	best := c.choose(f, places)
-	if (best != nil) != room {
-		t.Fatalf("room: %v, chosen: %v", room, best)
+	best := c.choose(f, candidates)
+	if (best != nil) != startable {
+		t.Fatalf("a candidate can start the task: %v; chosen: %v", startable, best)
 	}
 	if best != nil && inTime && f.risk(best) >= 1 {
-		t.Fatalf("%+v: late at %+v, of %+v", f, best, places)
+		t.Fatalf("%+v: chosen %+v, where the task is late, of %+v", f, best, candidates)
 	}
 }
 
-// TestHoldIsBounded holds that a task holds out only for places that bring it in time, not
-// once it should have begun, and that with ever more holding out the next goes where there
-// is room.
+// TestHoldIsBounded checks that a task is held only for faster workers, and not after its due time, and
+// that only a limited number of tasks is held before the next goes to a worker with free capacity.
 func TestHoldIsBounded(t *testing.T) {
-	full := slices.DeleteFunc(allPlaces(), func(cand candidate) bool { return cand.free.CPU > 0 })
+	full := slices.DeleteFunc(allCandidates(), func(cand candidate) bool { return cand.free.CPU > 0 })
 	held := 0
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		c := coreBySpeed(rapid.SampledFrom([]float64{1, 1.5, 3}).Draw(t, "remote"))
-		slow := placeOf(rapid.SampledFrom([]float64{1, 1.6, 3}).Draw(t, "slow"), 16000, "r2")
+		slow := candidateOf(rapid.SampledFrom([]float64{1, 1.6, 3}).Draw(t, "slow"), 16000, "r2")
 		r := &round{workers: append(rapid.SliceOfN(rapid.SampledFrom(full), 1, 8).Draw(t, "full"), slow)}
 		tk := taskOf(now, rapid.SampledFrom([]int64{51, 170, 760}).Draw(t, "estimate"), rapid.SampledFrom([]string{"", rack}).Draw(t, "affinity"), rapid.SampledFrom(slacks).Draw(t, "slack"))
 		f := c.evaluatorFor(now, tk, r)
@@ -108,23 +107,23 @@
 		}
 		held++
 		if !now.Before(tk.due) || len(f.fasterWorkers(r.workers, best)) == 0 {
-			t.Fatalf("holds out with %v left, for %v places", tk.due.Sub(now), len(f.fasterWorkers(r.workers, best)))
+			t.Fatalf("held %v before its due time, for %v workers", tk.due.Sub(now), len(f.fasterWorkers(r.workers, best)))
 		}
 		const many = 10_000
 		for n := 0; c.shouldHold(r, &f, best); n++ {
 			if n == many {
-				t.Fatal("holds out without end")
+				t.Fatal("the number of held tasks is not limited")
 			}
 		}
 	})
 	if held == 0 {
-		t.Error("none held out")
+		t.Error("no task was held")
 	}
-	t.Logf("%d held out", held)
+	t.Logf("%d tasks were held", held)
 }
 
-// TestLimitFollowsTheExpectedTime holds that a run on a slow worker or far from its data is no
-// straggler for that, and that its estimate knows of the distance and not of the worker.
+// TestLimitFollowsTheExpectedTime checks that the limit of a run is longer on a slow worker and in
+// another rack than its data, and that its estimate includes the distance but not the worker's speed.
 func TestLimitFollowsTheExpectedTime(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tk := taskOf(now, 100, rack, 1)
@@ -134,11 +133,11 @@
 		estimate float64
 		limit    time.Duration
 	}{
-		{true, placeOf(1, 0, rack), 100, 300 * time.Millisecond},
-		{true, placeOf(1.6, 0, rack), 100, 480 * time.Millisecond},
-		{true, placeOf(1, 0, "r2"), 200, 600 * time.Millisecond},
-		{true, placeOf(1.6, 0, "r2"), 200, 960 * time.Millisecond},
-		{false, placeOf(1.6, 0, "r2"), 100, 300 * time.Millisecond},
+		{true, candidateOf(1, 0, rack), 100, 300 * time.Millisecond},
+		{true, candidateOf(1.6, 0, rack), 100, 480 * time.Millisecond},
+		{true, candidateOf(1, 0, "r2"), 200, 600 * time.Millisecond},
+		{true, candidateOf(1.6, 0, "r2"), 200, 960 * time.Millisecond},
+		{false, candidateOf(1.6, 0, "r2"), 100, 300 * time.Millisecond},
 	} {
 		c := coreBySpeed(2)
 		c.cfg.Load.PlaceBySpeed = x.bySpeed
@@ -149,8 +148,8 @@
 	}
 }
 
-// TestLongestFirstOnTheFastest holds that of a job's tasks the longest goes first, and to the
-// fastest worker that has room, while there is much room.
+// TestLongestFirstOnTheFastest checks that the longest of a job's tasks is placed first, on the fastest
+// worker with free capacity, while much capacity is free.
 func TestLongestFirstOnTheFastest(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := coreBySpeed(1)
@@ -178,9 +177,9 @@
 	}
 }
 
-// TestSaysWhatIsAgainstThePlace holds what the log says of a run that has no better place,
-// and that a task which holds out is noted once.
-func TestSaysWhatIsAgainstThePlace(t *testing.T) {
+// TestLoggedReasons checks the reason in the log of a run whose worker is not ideal for it, and that a
+// held task is logged once.
+func TestLoggedReasons(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := coreBySpeed(2)
 	for _, x := range []struct {
@@ -188,21 +187,21 @@
 		at    candidate
 		want  string
 	}{
-		{2, placeOf(1.6, 16000, rack), ""},
-		{2, placeOf(1, 16000, "r2"), reasonFar},
-		{0.5, placeOf(1, 16000, "r2"), reasonLateFar},
-		{0.5, placeOf(1.6, 16000, rack), reasonLateSlow},
+		{2, candidateOf(1.6, 16000, rack), ""},
+		{2, candidateOf(1, 16000, "r2"), reasonFar},
+		{0.5, candidateOf(1, 16000, "r2"), reasonLateFar},
+		{0.5, candidateOf(1.6, 16000, rack), reasonLateSlow},
 	} {
 		f := c.evaluatorFor(now, taskOf(now, 100, rack, x.slack), &round{})
 		if got := f.reason(&x.at); got != x.want {
-			t.Errorf("%q in place of %q", got, x.want)
+			t.Errorf("reason %q, want %q", got, x.want)
 		}
 	}
-	r := &round{workers: []candidate{placeOf(1, 0, rack), placeOf(1, 16000, "r2")}}
+	r := &round{workers: []candidate{candidateOf(1, 0, rack), candidateOf(1, 16000, "r2")}}
 	f := c.evaluatorFor(now, taskOf(now, 100, rack, 0.5), r)
 	for range 2 {
 		if !c.shouldHold(r, &f, &r.workers[1]) {
-			t.Fatal("goes far")
+			t.Fatal("the task is not held")
 		}
 	}
 	if notes := c.effects.Notes; len(notes) != 1 || notes[0].What != TaskHeld || notes[0].Reason != rack {
--- a/jobs/scheduler/overload_test.go
+++ b/jobs/scheduler/overload_test.go
@@ -9,12 +9,12 @@
 	"github.com/lichenfall/lichenfall/config"
 )
 
-// The pattern: a desk's work at the top of its wave. Many short wide jobs whose callers may
-// wait least, fewer long ones that take half of the room, and small ones in between; for a
-// few seconds a burst asks for a third more than there is. The shares of work are those of
-// the users' claims desk (11, 49 and 40 % of what is asked for).
+// The load is that of the users' claims desk at its peak: many short and wide jobs whose callers may
+// wait least, fewer long ones that take half of the capacity, and small ones in between. For a few
+// seconds a burst offers a third more work than the capacity. The shares of the offered work are 11,
+// 49 and 40 %.
 
-// deskKinds are the kinds of the desk, the first of them urgent.
+// deskKinds returns the kinds of jobs of the claims desk; urgent is the priority of the first.
 func deskKinds(urgent int32) []kindOfJob {
 	return []kindOfJob{
 		{name: "match", priority: urgent, perS: 24, width: 8, work: 60 * time.Millisecond},
@@ -23,14 +23,14 @@
 	}
 }
 
-// desk is the load of the desk at one coordinator.
+// desk returns the load of the claims desk at one coordinator.
 func desk(kinds []kindOfJob) loadSetting {
 	cfg := config.DefaultLoadPolicy()
 	return loadSetting{kinds: kinds, coordinators: 1, workers: loadWorkers, seeds: 4, policy: cfg.Core(), burst: func(int) float64 { return burstX }}
 }
 
-// TestOverload holds who is served in the burst: the urgent kind no worse than any other,
-// better than without its priority, and no kind starved.
+// TestOverload checks the shares in time in a burst: the urgent kind is not served worst, and better than
+// without its priority, and every other kind gets at least half of its share.
 func TestOverload(t *testing.T) {
 	with := playLoads(desk(deskKinds(0))).kinds
 	without := playLoads(desk(deskKinds(1))).kinds
@@ -39,7 +39,7 @@
 	}
 	urgent := with[0].share()
 	if urgent <= without[0].share() {
-		t.Errorf("the urgent kind is served no better for its priority")
+		t.Errorf("the urgent kind is not served better with its priority than without")
 	}
 	if least := slices.MinFunc(with, func(a, b outcome) int { return cmp.Compare(a.share(), b.share()) }); urgent < least.share() {
 		t.Errorf("the urgent kind is served worst")
@@ -51,21 +51,22 @@
 	}
 }
 
-// TestThirdOfTheRoomGone evacuates a data centre with a third of the room in the middle of
-// the burst: nothing is started there, and the urgent kind stays no worse than others.
+// TestThirdOfTheRoomGone evacuates a data centre with a third of the capacity in the middle of the
+// burst. It checks that nothing is started there, and that the urgent kind is served no worse than the
+// others.
 func TestThirdOfTheRoomGone(t *testing.T) {
-	const goneAt = 3 * time.Second
+	const evacuateAt = 3 * time.Second
 	set := desk(deskKinds(0))
 	set.also = func(p *loadPlay, at time.Duration) {
-		if at == goneAt {
+		if at == evacuateAt {
 			p.evacuate("b")
 		}
-		if at <= goneAt+time.Millisecond {
+		if at <= evacuateAt+time.Millisecond {
 			return
 		}
 		for _, w := range p.workers {
-			if w.dataCentre() == "b" && w.startedAfter(p.began.Add(goneAt+time.Millisecond)) {
-				t.Fatalf("a run begins in the evacuated data centre %v after", at-goneAt)
+			if w.dataCentre() == "b" && w.startedAfter(p.began.Add(evacuateAt+time.Millisecond)) {
+				t.Fatalf("a run begins in the evacuated data centre, %v after the evacuation", at-evacuateAt)
 			}
 		}
 	}
--- a/jobs/scheduler/overloadbench_test.go
+++ b/jobs/scheduler/overloadbench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkOverloadSecond plays the burst of TestOverload; the figure is for one second of
-// it at one coordinator with ten workers, who send some 900 statuses.
+// BenchmarkOverloadSecond simulates the load of TestOverload. The metric is the time for one second of
+// it, at one coordinator with ten workers that send some 900 statuses.
 func BenchmarkOverloadSecond(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
@@ -17,9 +17,9 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(seconds)/1e6, "ms/second")
 }
 
-// BenchmarkWays plays the overload of TestUnevenCallers by the ways that were weighed (design
-// 0012): asking for room, a race of orders, and a race whose losers leave the worker alone
-// for a while. The figures are shares.
+// BenchmarkWays simulates the overload of TestUnevenCallers with the alternatives of design 0012:
+// capacity requests, a race of orders, and a race after which a coordinator that lost leaves the worker
+// alone for a while. The metrics are shares.
 func BenchmarkWays(b *testing.B) {
 	for _, coordinators := range []int{4, 12} {
 		for _, way := range []string{"asks", "race", "back_off"} {
--- a/jobs/scheduler/score_test.go
+++ b/jobs/scheduler/score_test.go
@@ -10,14 +10,14 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// TestScoreIsNoStrictOrder shows why the worth of a placement is a sum: a strict order of
-// preference by the same inputs, most important first, chooses another worker in
-// some cases, so that writing one would change what the scheduler does.
+// TestScoreIsNoStrictOrder shows why the score is a sum: a strict order of preference by the same
+// inputs, the most important first, chooses another worker in some cases. To replace the score by such
+// an order would change what the scheduler does.
 func TestScoreIsNoStrictOrder(t *testing.T) {
 	const pairs = 1_000_000
 	r := rand.New(rand.NewPCG(20261202, 1))
 	c := New(Settings{DataCentre: "nadi"}, 1)
-	others := 0
+	different := 0
 	for range pairs {
 		tk := randomTask(r)
 		a, b := randomCandidate(r), randomCandidate(r)
@@ -25,22 +25,22 @@
 			continue
 		}
 		f := c.evaluatorFor(time.Time{}, tk, &round{})
-		if (c.score(&f, &a) > c.score(&f, &b)) != (byOrder(c, tk, &a, &b) > 0) {
-			others++
+		if (c.score(&f, &a) > c.score(&f, &b)) != (compareStrictly(c, tk, &a, &b) > 0) {
+			different++
 		}
 	}
-	if others == 0 {
-		t.Error("a strict order chooses the same: write the worth as one")
+	if different == 0 {
+		t.Error("a strict order chooses the same workers: replace the score by one")
 	}
-	t.Logf("%d of %d pairs are decided otherwise by a strict order", others, pairs)
+	t.Logf("a strict order decides %d of %d pairs differently", different, pairs)
 }
 
-// byOrder compares two candidates by a strict order.
-func byOrder(c *Core, t *task, a, b *candidate) int {
+// compareStrictly compares two candidates by a strict order of preference.
+func compareStrictly(c *Core, t *task, a, b *candidate) int {
 	rank := func(cand *candidate) []float64 {
 		return []float64{
-			truth(!t.avoids(cand.w)), truth(hasLabel(cand.w, t.step.Affinity)),
-			-cand.w.failing(), truth(cand.w.preference == Preferred), cand.share(), truth(cand.w.dataCentre == c.cfg.DataCentre),
+			boolToFloat(!t.avoids(cand.w)), boolToFloat(hasLabel(cand.w, t.step.Affinity)),
+			-cand.w.failing(), boolToFloat(cand.w.preference == Preferred), cand.share(), boolToFloat(cand.w.dataCentre == c.cfg.DataCentre),
 		}
 	}
 	ra, rb := rank(a), rank(b)
@@ -52,7 +52,7 @@
 	return cmp.Compare(a.jitter, b.jitter)
 }
 
-func truth(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/jobs/scheduler/silences_test.go
+++ b/jobs/scheduler/silences_test.go
@@ -12,7 +12,7 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// silent tells that the run lapsed under a server that was silent until the end.
+// silent reports that the lease of the run lapsed while its backend server was silent.
 func (f *fixture) silent(s sent) {
 	f.core.Ends(f.now, s.worker, &wire.RunEnds{Ends: []wire.RunEnd{{Ref: s.order.Ref, How: uint8(wire.EndLapsed), Instance: fmt.Sprint("i-", s.worker, s.order.Ref.Run)}}})
 }
@@ -23,14 +23,14 @@
 		f.worker("w1")
 		first = f.running(job(tasks(1)))[0]
 		f.silent(first)
-		second = f.next("w1") // after one it goes on at once
+		second = f.next("w1") // after one silence the task is queued again at once
 		f.silent(second)
 		f.status("w1", 4000)
 		Expect(f.orders(f.core.Take(f.now))).To(BeEmpty())
 		return f, first, second
 	}
 
-	It("waits after the second for news of them, no longer than its owner may let it stand still", func() {
+	It("is suspended after the second, for less time than its job may stand still", func() {
 		f, _, _ := twice()
 		f.wait(2400*time.Millisecond, "w1")
 		Expect(f.orders(f.core.Take(f.now))).To(BeEmpty())
@@ -38,7 +38,7 @@
 		Expect(f.orders(f.core.Take(f.now))).To(HaveLen(1))
 	})
 
-	It("goes on as soon as all have turned out to be crashes, and counts them", func() {
+	It("is resumed as soon as all silences have turned out to be crashes, and counts these", func() {
 		f, first, second := twice()
 		f.crash(second, true, false)
 		f.status("w1", 4000)
@@ -47,7 +47,7 @@
 		Expect(f.next("w1").order.Crashes).To(Equal(uint32(2)))
 	})
 
-	It("of a best-effort job is suspected when its caller sends it again", func() {
+	It("of a best-effort job is still suspended when its caller resends the job", func() {
 		f := newFixture()
 		f.worker("w1")
 		f.core.Submit(f.now, 1, bestEffort(1), 0)
@@ -59,7 +59,7 @@
 		Expect(f.orders(f.core.Take(f.now))).To(BeEmpty())
 	})
 
-	It("is not started after its job was refused while it waited", func() {
+	It("is not started after its job was refused while the task was suspended", func() {
 		f := newFixture()
 		f.worker("w1")
 		f.core.RecordCrashes(f.now, &wire.CrashNews{Crashes: []wire.TaskCrash{
@@ -73,7 +73,7 @@
 		Expect(f.orders(f.core.Take(f.now))).To(BeEmpty())
 	})
 
-	It("of a best-effort job is not started again when the crashes that came out since are too many", func() {
+	It("of a best-effort job is not started again once too many of the silences have turned out to be crashes", func() {
 		f := newFixture()
 		f.worker("w1")
 		f.core.Submit(f.now, 1, bestEffort(1), 0)
--- a/jobs/scheduler/speed_test.go
+++ b/jobs/scheduler/speed_test.go
@@ -7,8 +7,8 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// speedTold is a worker that has said how fast its backend server is.
-func speedTold(bySpeed bool, instance string, percent uint32) (*Core, *worker) {
+// coreWithSpeed returns a core with a worker that has reported a time factor in percent.
+func coreWithSpeed(bySpeed bool, instance string, percent uint32) (*Core, *worker) {
 	c := New(Settings{Load: LoadPolicy{PlaceBySpeed: bySpeed}}, 1)
 	c.WorkerUp(time.Unix(1000, 0), "w", "a")
 	c.Status(time.Unix(1000, 0), "w", statusOf(instance, percent))
@@ -26,28 +26,28 @@
 		w    func() *worker
 		want float64
 	}{
-		{"told", func() *worker { _, w := speedTold(true, "i", 160); return w }, 1.6},
-		{"not known", func() *worker { _, w := speedTold(true, "i", 0); return w }, 1},
-		{"servers are taken to be alike", func() *worker { _, w := speedTold(false, "i", 160); return w }, 1},
-		{"the worker process begins anew", func() *worker {
-			c, w := speedTold(true, "i", 160)
+		{"reported", func() *worker { _, w := coreWithSpeed(true, "i", 160); return w }, 1.6},
+		{"not known", func() *worker { _, w := coreWithSpeed(true, "i", 0); return w }, 1},
+		{"all servers are taken to be equally fast", func() *worker { _, w := coreWithSpeed(false, "i", 160); return w }, 1},
+		{"the worker process has restarted", func() *worker {
+			c, w := coreWithSpeed(true, "i", 160)
 			c.WorkerUp(now, "w", "a")
 			c.Status(now, "w", statusOf("i", 0))
 			return w
 		}, 1.6},
-		{"the worker process begins anew and has said nothing yet", func() *worker {
-			c, w := speedTold(true, "i", 160)
+		{"the worker process has restarted and sent no status yet", func() *worker {
+			c, w := coreWithSpeed(true, "i", 160)
 			c.WorkerUp(now, "w", "a")
 			return w
 		}, 1},
-		{"the restarted worker knows again", func() *worker {
-			c, w := speedTold(true, "i", 160)
+		{"the restarted worker process reports a new factor", func() *worker {
+			c, w := coreWithSpeed(true, "i", 160)
 			c.WorkerUp(now, "w", "a")
 			c.Status(now, "w", statusOf("i", 150))
 			return w
 		}, 1.5},
-		{"the next life has the same ID", func() *worker {
-			c, w := speedTold(true, "i@1000", 160)
+		{"the next incarnation has the same ID", func() *worker {
+			c, w := coreWithSpeed(true, "i@1000", 160)
 			c.Status(now, "w", statusOf("i@2000", 0))
 			return w
 		}, 1},
@@ -58,10 +58,10 @@
 	}
 }
 
-// TestSpeedIsShown holds what operators see of a worker's speed, also where it is not used.
+// TestSpeedIsShown checks the speed of a worker that operators see, also where speed is not used.
 func TestSpeedIsShown(t *testing.T) {
 	for _, bySpeed := range []bool{true, false} {
-		c, _ := speedTold(bySpeed, "i", 160)
+		c, _ := coreWithSpeed(bySpeed, "i", 160)
 		if v := c.Workers()[0]; v.TimeFactor != 160 || v.Slowness != 0 {
 			t.Errorf("by speed %t: time factor %d, slowness %d", bySpeed, v.TimeFactor, v.Slowness)
 		}
