--- a/jobs/scheduler/admission_test.go
+++ b/jobs/scheduler/admission_test.go
@@ -70,7 +70,7 @@
 
 	DescribeTable("counts the work that precedes the job at other coordinators",
 		func(is bool, waiting ...wire.WaitingWork) { Expect(admitted(waiting...)).To(Equal(is)) },
-		Entry("no work", true),
+		Entry("nothing", true),
 		Entry("little work with less slack", true, row(-100, 0, 50)),
 		Entry("much work with less slack", false, row(-100, 0, 70)),
 		Entry("much work of jobs that have begun", false, row(-3_600_000, -3_600_000, 70)),
--- a/jobs/scheduler/capacityrequests.go
+++ b/jobs/scheduler/capacityrequests.go
@@ -14,13 +14,20 @@
 // in order, and reserves it for a moment (a grant, package room).
 
 const (
-	minWorkersAsked  = 16                    // workers asked for a single task: a run ends on one of them within a millisecond or two
-	workersPerTask   = 2                     // workers asked for each task that waits
-	requestInterval  = 50 * time.Millisecond // an active request is repeated so often; it expires after three times that
+	// minWorkersAsked is the number of workers that are asked for a single task. With 16 of them, a
+	// run ends on one within a millisecond or two.
+	minWorkersAsked = 16
+	workersPerTask  = 2 // workers asked for each task that waits
+
+	requestInterval  = 50 * time.Millisecond // until an active request is repeated; it expires after three times that
 	minRequestGap    = 10 * time.Millisecond // least time between two reviews of what to request
 	minDeadlineShift = 10 * time.Millisecond // change of the first virtual deadline that has a request sent again
-	unusedPause      = 50 * time.Millisecond // pause of requests to a worker whose reported capacity suits tasks that it may not run
-	freshFor         = 10 * time.Millisecond // how long a status holds while others wait for capacity: a little less than a grant lasts
+	// unusedPause is how long no request is sent to a worker whose reported capacity suffices for tasks
+	// that could nevertheless not be ordered there.
+	unusedPause = 50 * time.Millisecond
+	// freshFor is how long a status is used while coordinators wait for capacity: a little less than a
+	// grant lasts.
+	freshFor = 10 * time.Millisecond
 )
 
 // capacityRequest is the state of the request to one worker, over its present connection.
--- a/jobs/scheduler/classes_test.go
+++ b/jobs/scheduler/classes_test.go
@@ -58,7 +58,7 @@
 }
 
 // bursting returns the claims desk's load in which the given kinds burst.
-func bursting(kinds ...int) loadSetting {
+func bursting(kinds ...int) loadConfig {
 	set := desk(deskKinds(0))
 	set.burst = func(kind int) float64 {
 		if slices.Contains(kinds, kind) {
@@ -86,7 +86,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			checkClasses(t, deskKinds(0), playLoads(bursting(c.kinds...)).kinds)
+			checkClasses(t, deskKinds(0), simulateLoads(bursting(c.kinds...)).kinds)
 		})
 	}
 }
@@ -96,19 +96,19 @@
 func TestClassesOfManyCoordinators(t *testing.T) {
 	set := sharedDesk(4)
 	set.sharers = 4
-	checkClasses(t, set.kinds, playLoads(set).kinds)
+	checkClasses(t, set.kinds, simulateLoads(set).kinds)
 }
 
 // TestClassesThirdOfTheRoomGone checks the classes in a burst of all kinds, while a data centre with a
 // third of the capacity is evacuated.
 func TestClassesThirdOfTheRoomGone(t *testing.T) {
 	set := desk(deskKinds(0))
-	set.also = func(p *loadPlay, at time.Duration) {
+	set.eachMillisecond = func(p *loadSim, at time.Duration) {
 		if at == 3*time.Second {
 			p.evacuate("b")
 		}
 	}
-	checkClasses(t, set.kinds, playLoads(set).kinds)
+	checkClasses(t, set.kinds, simulateLoads(set).kinds)
 }
 
 // TestAllFitClasses checks that no job is refused and 99 % are in time while the capacity suffices: a
@@ -118,9 +118,9 @@
 		set := bursting()
 		set.coordinators, set.sharers = coordinators, float64(coordinators)
 		for i := range set.kinds {
-			set.kinds[i].perS /= 2
+			set.kinds[i].perSecond /= 2
 		}
-		for i, o := range playLoads(set).kinds {
+		for i, o := range simulateLoads(set).kinds {
 			if o.refused > 0 || o.share() < 0.99 {
 				t.Errorf("%d coordinators, %s: %d refused of %d, %.3f in time", coordinators, set.kinds[i].name, o.refused, o.sent, o.share())
 			}
@@ -137,8 +137,8 @@
 		t.Run(flood.name, func(t *testing.T) {
 			t.Parallel()
 			set := bursting()
-			set.kinds[i].perS *= 5
-			out := playLoads(set).kinds
+			set.kinds[i].perSecond *= 5
+			out := simulateLoads(set).kinds
 			logClasses(t, set.kinds, out)
 			checkOrder(t, byPriority(set.kinds, out), margin)
 			for k := range out {
--- a/jobs/scheduler/giveup.go
+++ b/jobs/scheduler/giveup.go
@@ -17,9 +17,9 @@
 // Reasons for which a job that has not begun is refused after it was admitted; reasonTooLong is another.
 const (
 	reasonTooLate      = "too_late"      // it would be late if it began now
-	reasonCallerTime   = "caller_time"   // startTimeout has passed; its caller needs the rest of its time to try another coordinator
+	reasonCallerTime   = "caller_time"   // startTimeout has passed: the caller needs time to try elsewhere
 	reasonGaveWay      = "gave_way"      // it was evicted for a job of a more urgent class
-	reasonUntold       = "untold"        // it was not announced in time, and another coordinator may run it for a resent call
+	reasonUntold       = "untold"        // not announced in time: another coordinator may run it too
 	reasonAllEvacuated = "all_evacuated" // all data centres are evacuated, so nothing can be started
 )
 
--- a/jobs/scheduler/loadplay_test.go
+++ b/jobs/scheduler/loadplay_test.go
@@ -15,45 +15,45 @@
 	"github.com/lichenfall/lichenfall/lib/failure"
 )
 
-// kindOfJob is one kind of the load.
+// kindOfJob is one kind of jobs of a load.
 type kindOfJob struct {
-	name     string
-	priority int32
-	perS     float64 // jobs a second that come to ten workers
-	width    uint32
-	work     time.Duration // of each task
-	rack     string        // of its data; empty if that makes no difference
+	name      string
+	priority  int32
+	perSecond float64 // jobs a second for each ten workers
+	width     uint32
+	work      time.Duration // of each task
+	rack      string        // of its data; empty if the rack makes no difference
 }
 
-// loadSetting says what is played.
-type loadSetting struct {
-	kinds        []kindOfJob
-	coordinators int
-	workers      int
-	seeds        uint64 // how many are played
-	policy       scheduler.LoadPolicy
-	sharers      float64                             // what each coordinator takes for the number of those that share a worker
-	burst        func(kind int) float64              // how many times as many jobs come in the burst
-	callers      func(p *loadPlay, core int) float64 // weight of a coordinator's callers now; nil if all have the same
-	factor       func(worker int) float64            // of the times of runs; nil if all are alike
-	backOff      bool                                // a worker that handed back is left alone for 5 to 20 ms
-	also         func(p *loadPlay, at time.Duration) // is done in each millisecond; may be nil
-	onStart      func(w *loadWorker, r *loadRun)     // is done as a run starts; may be nil
+// loadConfig configures a simulation.
+type loadConfig struct {
+	kinds           []kindOfJob
+	coordinators    int
+	workers         int
+	seeds           uint64 // number of simulations, with seeds from 0
+	policy          scheduler.LoadPolicy
+	sharers         float64                            // number of coordinators that each takes to share a worker
+	burst           func(kind int) float64             // factor on the rate of a kind in the burst
+	callers         func(p *loadSim, core int) float64 // present weight of its callers; nil if all are equal
+	factor          func(worker int) float64           // of the times of runs on a worker; nil if all are 1
+	backOff         bool                               // after a hand-back the worker gets no orders for 5 to 20 ms
+	eachMillisecond func(p *loadSim, at time.Duration) // called each millisecond; may be nil
+	onStart         func(w *loadWorker, r *loadRun)    // called as a run starts; may be nil
 }
 
-// The load's room and course.
+// Capacity and phases of a load.
 const (
 	loadWorkers  = 10
 	loadCapacity = 32_000 // thousandths of a core at each worker
 	loadLength   = 8 * time.Second
 	burstFrom    = 2 * time.Second
 	burstTo      = 5 * time.Second
-	calmAgain    = burstTo + time.Second
+	calmFrom     = burstTo + time.Second
 	burstX       = 1.75
-	loadSpread   = 0.3 // of needs and times, to both sides
+	loadSpread   = 0.3 // relative spread of needs and times, in both directions
 )
 
-// outcome is what became of some jobs.
+// outcome counts jobs by what became of them.
 type outcome struct{ sent, inTime, refused int }
 
 // share returns the share that was answered in time.
@@ -68,20 +68,20 @@
 	o.refused += b.refused
 }
 
-// orders counts what workers were sent in a part of the load.
-type orders struct{ sent, handedBack, asks int }
+// orders counts the messages to workers in a phase of the load.
+type orders struct{ sent, handedBack, requests int }
 
-// backShare returns the share of the orders that was handed back.
-func (o *orders) backShare() float64 { return float64(o.handedBack) / float64(max(1, o.sent)) }
+// handedBackShare returns the share of the ordered runs that workers handed back.
+func (o *orders) handedBackShare() float64 { return float64(o.handedBack) / float64(max(1, o.sent)) }
 
-// loadResult is what became of a load.
+// loadResult is the result of a simulation.
 type loadResult struct {
 	kinds  []outcome
 	cores  []outcome       // by coordinator
-	calm   orders          // before the burst, and from a second after it
+	calm   orders          // before the burst, and from one second after it
 	over   orders          // in the burst
-	starts []time.Duration // from handing in to the first start, before the burst
-	left   []string        // what should not be so at the end of a load
+	starts []time.Duration // from submission to the first start, of jobs that started before the burst
+	left   []string        // violations at the end of a simulation
 }
 
 func (r *loadResult) add(b *loadResult) {
@@ -94,7 +94,7 @@
 	for _, pair := range [][2]*orders{{&r.calm, &b.calm}, {&r.over, &b.over}} {
 		pair[0].sent += pair[1].sent
 		pair[0].handedBack += pair[1].handedBack
-		pair[0].asks += pair[1].asks
+		pair[0].requests += pair[1].requests
 	}
 	r.starts = append(r.starts, b.starts...)
 }
@@ -105,38 +105,38 @@
 	due        time.Time
 }
 
-// loadPlay plays a load in virtual time: callers, coordinators, the links between those and
-// workers, and workers that start what fits.
-type loadPlay struct {
-	set     loadSetting
-	seed    uint64
-	random  *rand.Rand // of the callers: they are the same whatever becomes of their jobs
-	now     time.Time
-	began   time.Time
-	events  loadEvents
-	order   int
-	cores   []*loadCore
-	workers []*loadWorker
-	jobs    map[scheduler.Call]loadJob
-	next    scheduler.Call
-	waiting map[durable.JobID]time.Time // when the jobs came of which nothing has started
-	out     loadResult
-	twice   []string // tasks that ran twice at once
-	// evacuated is the data centre in which nothing may be started.
+// loadSim simulates a load in virtual time: callers, coordinators, workers that start what fits, and
+// the links between coordinators and workers.
+type loadSim struct {
+	set      loadConfig
+	seed     uint64
+	random   *rand.Rand // for the callers only, so that they are the same whatever becomes of their jobs
+	now      time.Time
+	began    time.Time
+	events   loadEvents
+	order    int
+	cores    []*loadCore
+	workers  []*loadWorker
+	jobs     map[scheduler.Call]loadJob
+	next     scheduler.Call
+	waiting  map[durable.JobID]time.Time // arrival of the jobs of which no task has started
+	out      loadResult
+	ranTwice []string // tasks that ran on two workers at once
+	// evacuated is the data centre where no task may be started; empty if there is none.
 	evacuated string
 }
 
-// loadCore is a coordinator and its links.
+// loadCore is a coordinator.
 type loadCore struct {
 	number int
 	name   string
 	core   *scheduler.Core
-	delay  time.Duration // to and from each worker
+	delay  time.Duration // of messages to and from each worker
 	down   bool
 }
 
-func newLoad(seed uint64, set loadSetting) *loadPlay {
-	p := &loadPlay{
+func newLoadSim(seed uint64, set loadConfig) *loadSim {
+	p := &loadSim{
 		set:     set,
 		seed:    seed,
 		random:  rand.New(rand.NewPCG(seed, 9)),
@@ -160,9 +160,9 @@
 	return p
 }
 
-// newCore returns a coordinator that is up to 1.5 ms away from all workers; every fourth is
-// a small box, which takes 3 ms more.
-func (p *loadPlay) newCore(seed uint64, i int) *loadCore {
+// newCore returns a coordinator whose messages take 0.5 to 1.5 ms. Every fourth is a small box, which
+// takes 3 ms more.
+func (p *loadSim) newCore(seed uint64, i int) *loadCore {
 	const near, far, small = 500 * time.Microsecond, 1500 * time.Microsecond, 3 * time.Millisecond
 	k := &loadCore{number: i, name: fmt.Sprintf("c%d", i), delay: near + time.Duration(i)*(far-near)/time.Duration(max(1, p.set.coordinators-1))}
 	if i%4 == 3 {
@@ -177,44 +177,44 @@
 	return k
 }
 
-// dataCentreOf puts a third of the workers and a little more into data centre b.
+// dataCentreOf puts every third coordinator and worker into data centre b, the others into a.
 func dataCentreOf(i int) string { return string("aab"[i%3]) }
 
-// hashed returns a number from 0 to 1 by the hash of the name.
+// hashed returns a number from 0 to 1 that depends on the formatted string alone.
 func hashed(format string, args ...any) float64 {
 	h := fnv.New32a()
 	fmt.Fprintf(h, format, args...)
 	return float64(h.Sum32()%1000) / 1000
 }
 
-// uneven gives the busiest coordinator some three times the callers of the least.
-func uneven(_ *loadPlay, core int) float64 { return 1 + 2*hashed("coordinator %d", core) }
+// uneven weights callers so that the busiest coordinator has some three times as many as the least busy.
+func uneven(_ *loadSim, core int) float64 { return 1 + 2*hashed("coordinator %d", core) }
 
-// at returns how long the load has been played.
-func (p *loadPlay) at() time.Duration { return p.now.Sub(p.began) }
+// at returns the virtual time since the start of the simulation.
+func (p *loadSim) at() time.Duration { return p.now.Sub(p.began) }
 
-// bursts returns whether the burst is on.
-func (p *loadPlay) bursts() bool { return p.at() >= burstFrom && p.at() < burstTo }
+// bursts returns whether the burst is going on.
+func (p *loadSim) bursts() bool { return p.at() >= burstFrom && p.at() < burstTo }
 
-// part returns the counts of this part of the load.
-func (p *loadPlay) part() *orders {
+// part returns the counts of the present phase of the load.
+func (p *loadSim) part() *orders {
 	switch {
 	case p.bursts():
 		return &p.out.over
-	case p.at() < burstFrom || p.at() >= calmAgain:
+	case p.at() < burstFrom || p.at() >= calmFrom:
 		return &p.out.calm
 	}
 	return &orders{}
 }
 
-// loadEvent is something that happens at a moment.
+// loadEvent is an event of the simulation.
 type loadEvent struct {
 	at    time.Time
-	order int // among those of one moment
+	order int // sequence number, for events of the same time
 	do    func()
 }
 
-// loadEvents is a heap of events.
+// loadEvents is a heap of events by time.
 type loadEvents []loadEvent
 
 func (q loadEvents) Len() int { return len(q) }
@@ -232,29 +232,29 @@
 	return last
 }
 
-// after has something happen later.
-func (p *loadPlay) after(d time.Duration, do func()) {
+// after schedules an event.
+func (p *loadSim) after(d time.Duration, do func()) {
 	p.order++
 	heap.Push(&p.events, loadEvent{p.now.Add(d), p.order, do})
 }
 
-// every has something happen again and again.
-func (p *loadPlay) every(d time.Duration, do func()) {
+// every schedules an event that repeats.
+func (p *loadSim) every(d time.Duration, do func()) {
 	p.after(d, func() {
 		do()
 		p.every(d, do)
 	})
 }
 
-// play plays the load.
-func (p *loadPlay) play() *loadResult {
+// run runs the simulation.
+func (p *loadSim) run() *loadResult {
 	const tick = 20 * time.Millisecond
 	p.every(time.Millisecond, p.millisecond)
 	for _, k := range p.cores {
-		p.every(tick, func() { p.tell(k, k.core.Tick) })
+		p.every(tick, func() { p.deliver(k, k.core.Tick) })
 	}
 	for _, w := range p.workers {
-		p.every(tick, func() { w.settle(nil, false) })
+		p.every(tick, func() { w.shareCapacity(nil, false) })
 	}
 	for len(p.events) > 0 && p.at() < loadLength+2*time.Second {
 		e := heap.Pop(&p.events).(loadEvent)
@@ -264,23 +264,23 @@
 	return &p.out
 }
 
-// millisecond has the callers send their jobs.
-func (p *loadPlay) millisecond() {
+// millisecond submits the jobs of this millisecond, and calls eachMillisecond.
+func (p *loadSim) millisecond() {
 	if p.at() <= loadLength {
 		p.send()
 	}
-	if p.set.also != nil {
-		p.set.also(p, p.at())
+	if p.set.eachMillisecond != nil {
+		p.set.eachMillisecond(p, p.at())
 	}
 }
 
-// around returns a value near x, by a number from 0 to 1.
+// around spreads x by loadSpread; by is a number from 0 to 1.
 func around(x, by float64) float64 { return x * (1 + loadSpread*(2*by-1)) }
 
-// send sends the jobs of this millisecond.
-func (p *loadPlay) send() {
+// send draws and submits the jobs of this millisecond.
+func (p *loadSim) send() {
 	for i, k := range p.set.kinds {
-		x := k.perS / 1000 * float64(p.set.workers) / loadWorkers
+		x := k.perSecond / 1000 * float64(p.set.workers) / loadWorkers
 		if p.bursts() {
 			x *= p.set.burst(i)
 		}
@@ -290,8 +290,8 @@
 	}
 }
 
-// drawCore returns the coordinator that a caller comes to.
-func (p *loadPlay) drawCore() int {
+// drawCore draws the coordinator that a caller submits to.
+func (p *loadSim) drawCore() int {
 	if p.set.callers == nil {
 		return p.random.IntN(len(p.cores))
 	}
@@ -308,10 +308,10 @@
 	return len(p.cores) - 1
 }
 
-// submit hands a job to the coordinator.
-func (p *loadPlay) submit(kind int, k *loadCore) {
+// submit submits a job to the coordinator.
+func (p *loadSim) submit(kind int, k *loadCore) {
 	if k.down {
-		return // its callers go elsewhere, and are not counted
+		return // its callers use other coordinators, and are not counted
 	}
 	p.next++
 	call, work := p.next, p.set.kinds[kind].work
@@ -324,11 +324,11 @@
 	p.waiting[s.ID] = p.now
 	p.out.kinds[kind].sent++
 	p.out.cores[k.number].sent++
-	p.tell(k, func(now time.Time) { k.core.Submit(now, call, s, 1500*time.Millisecond) })
+	p.deliver(k, func(now time.Time) { k.core.Submit(now, call, s, 1500*time.Millisecond) })
 }
 
-// tell tells a coordinator something, and carries out what it decides.
-func (p *loadPlay) tell(k *loadCore, what func(now time.Time)) {
+// deliver passes an event to a coordinator, and carries out the effects.
+func (p *loadSim) deliver(k *loadCore, what func(now time.Time)) {
 	if k.down {
 		return
 	}
@@ -336,15 +336,15 @@
 	e := k.core.Take(p.now)
 	for _, s := range e.Sends {
 		w := p.workers[slices.IndexFunc(p.workers, func(w *loadWorker) bool { return w.name == s.Worker })]
-		life := w.life
-		p.after(k.delay, func() { w.take(k, life, s.Message) })
+		incarnation := w.incarnation
+		p.after(k.delay, func() { w.receive(k, incarnation, s.Message) })
 	}
 	for _, r := range e.Replies {
 		p.answered(r)
 	}
 }
 
-func (p *loadPlay) answered(r scheduler.Reply) {
+func (p *loadSim) answered(r scheduler.Reply) {
 	j, is := p.jobs[r.Call]
 	if !is {
 		return
@@ -360,8 +360,8 @@
 	}
 }
 
-// startedOne notes that a task of the job has started.
-func (p *loadPlay) startedOne(job durable.JobID) {
+// noteStart records that a task of the job has started.
+func (p *loadSim) noteStart(job durable.JobID) {
 	came, is := p.waiting[job]
 	delete(p.waiting, job)
 	if is && p.at() < burstFrom {
@@ -369,35 +369,34 @@
 	}
 }
 
-// evacuate has all coordinators and workers hear that nothing may be started in the data
-// centre.
-func (p *loadPlay) evacuate(dataCentre string) {
+// evacuate evacuates the data centre: all coordinators and workers learn it at once.
+func (p *loadSim) evacuate(dataCentre string) {
 	p.evacuated = dataCentre
 	for _, k := range p.cores {
-		p.tell(k, func(now time.Time) {
+		p.deliver(k, func(now time.Time) {
 			k.core.Evacuate(now, routing.Evacuations{Offset: 2, DataCentres: []string{dataCentre}})
 		})
 	}
 	for _, w := range p.workers {
-		w.settle(p.cores, false)
+		w.shareCapacity(p.cores, false)
 	}
 }
 
-// kill ends a coordinator without a word. Its callers are not counted further.
-func (p *loadPlay) kill(k *loadCore) {
+// kill stops a coordinator without notice. Its callers are not counted from then on.
+func (p *loadSim) kill(k *loadCore) {
 	k.down = true
 	for _, w := range p.workers {
-		w.lost(k)
+		w.disconnect(k)
 	}
 }
 
-// whatIsLeft returns what should not be so once no more jobs come: callers without an
-// answer, room that is not free, asks that stand.
-func (p *loadPlay) whatIsLeft() []string {
-	out := p.twice
+// leftovers returns the violations once no more jobs arrive: tasks that ran twice at once, callers
+// without a reply, capacity that is not free, and active capacity requests.
+func (p *loadSim) leftovers() []string {
+	out := p.ranTwice
 	for _, j := range p.jobs {
 		if k := p.cores[j.core]; !k.down {
-			out = append(out, "no answer from "+k.name)
+			out = append(out, "no reply from "+k.name)
 		}
 	}
 	for _, w := range p.workers {
@@ -405,19 +404,19 @@
 			out = append(out, fmt.Sprintf("%s has %d free", w.name, w.free.CPU))
 		}
 		if w.room.Sharing() {
-			out = append(out, w.name+" is asked for room")
+			out = append(out, w.name+" has active capacity requests")
 		}
 	}
 	return out
 }
 
-// playLoads plays a load with some seeds, and adds up what became of it.
-func playLoads(set loadSetting) *loadResult {
+// simulateLoads simulates a load with each seed, and returns the sum of the results.
+func simulateLoads(set loadConfig) *loadResult {
 	sum := &loadResult{kinds: make([]outcome, len(set.kinds)), cores: make([]outcome, set.coordinators)}
 	for seed := range set.seeds {
-		p := newLoad(seed, set)
-		sum.add(p.play())
-		sum.left = append(sum.left, p.whatIsLeft()...)
+		p := newLoadSim(seed, set)
+		sum.add(p.run())
+		sum.left = append(sum.left, p.leftovers()...)
 	}
 	return sum
 }
--- a/jobs/scheduler/loadworker_test.go
+++ b/jobs/scheduler/loadworker_test.go
@@ -12,29 +12,29 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// loadWorker is a worker of the load: it shares its room by package room, as a worker does,
-// and starts what fits at once.
+// loadWorker simulates a worker. It shares its free capacity between coordinators by package room, as
+// a real worker does, and starts at once what fits.
 type loadWorker struct {
-	p       *loadPlay
-	number  int
-	name    string
-	life    int // of its process
-	factor  float64
-	free    durable.Resources
-	room    *room.Table
-	shared  bool        // somebody asked for room when it was last shared
-	links   []*loadLink // by coordinator
-	running []loadRun
+	p           *loadSim
+	number      int
+	name        string
+	incarnation int // number of restarts of its process
+	factor      float64
+	free        durable.Resources
+	room        *room.Table
+	shared      bool        // a coordinator requested capacity when it was last shared
+	links       []*loadLink // by coordinator
+	running     []loadRun
 }
 
 // loadLink is a connection to a coordinator.
 type loadLink struct {
-	core     *loadCore
-	up       bool
-	beatSeq  uint64
-	startSeq uint64
-	told     bool      // has had a status
-	mutedTo  time.Time // it leaves the worker alone till then
+	core         *loadCore
+	up           bool
+	beatSeq      uint64
+	startSeq     uint64
+	identified   bool      // has sent the identity of its backend server
+	backOffUntil time.Time // the coordinator gets no status before, so it sends no orders
 }
 
 // loadRun is a run at a worker.
@@ -44,7 +44,7 @@
 	began time.Time
 }
 
-func newLoadWorker(p *loadPlay, number int) *loadWorker {
+func newLoadWorker(p *loadSim, number int) *loadWorker {
 	w := &loadWorker{p: p, number: number, name: fmt.Sprintf("w%d", number), factor: 1, free: durable.Resources{CPU: loadCapacity, Memory: 1 << 20}}
 	if p.set.factor != nil {
 		w.factor = p.set.factor(number)
@@ -64,46 +64,46 @@
 
 func (w *loadWorker) ready() bool { return w.dataCentre() != w.p.evacuated }
 
-// connect makes a connection to the coordinator.
+// connect connects the worker to the coordinator.
 func (w *loadWorker) connect(k *loadCore) {
 	w.links = append(w.links, &loadLink{core: k, up: !k.down})
-	w.p.tell(k, func(now time.Time) { k.core.WorkerUp(now, w.name, w.dataCentre()) })
+	w.p.deliver(k, func(now time.Time) { k.core.WorkerUp(now, w.name, w.dataCentre()) })
 	if w.number%len(w.p.cores) == k.number {
 		k.core.SetPreference(w.name, scheduler.Preferred)
 	}
-	w.settle([]*loadCore{k}, false)
+	w.shareCapacity([]*loadCore{k}, false)
 }
 
-// restart has the worker's process begin anew: it forgets what was asked, what runs goes
-// on, and coordinators connect again at once.
+// restart restarts the worker's process. It loses the capacity requests, the runs continue, and the
+// coordinators reconnect at once.
 func (w *loadWorker) restart() {
-	w.life++
+	w.incarnation++
 	whole := durable.Resources{CPU: loadCapacity, Memory: 1 << 20}
 	w.room = newRoom(whole)
 	w.links = nil
 	for _, k := range w.p.cores {
-		w.p.tell(k, func(now time.Time) { k.core.WorkerDown(now, w.name) })
+		w.p.deliver(k, func(now time.Time) { k.core.WorkerDown(now, w.name) })
 		w.connect(k)
 	}
 }
 
-// lost ends the connection to the coordinator.
-func (w *loadWorker) lost(k *loadCore) {
+// disconnect ends the connection to the coordinator.
+func (w *loadWorker) disconnect(k *loadCore) {
 	w.links[k.number].up = false
 	w.room.RemoveOwner(k.name)
-	w.settle(nil, false)
+	w.shareCapacity(nil, false)
 }
 
-// take takes a message that was sent to an earlier or the present life of the worker.
-func (w *loadWorker) take(k *loadCore, life int, m wire.Message) {
+// receive handles a message, unless it was sent to an earlier incarnation of the worker's process.
+func (w *loadWorker) receive(k *loadCore, incarnation int, m wire.Message) {
 	l := w.links[k.number]
-	if life != w.life || !l.up {
+	if incarnation != w.incarnation || !l.up {
 		return
 	}
 	switch m := m.(type) {
 	case *wire.OwnerHeartbeat:
 		l.beatSeq = m.Seq
-		w.settle([]*loadCore{k}, false)
+		w.shareCapacity([]*loadCore{k}, false)
 	case *wire.StartRuns:
 		w.start(l, m)
 	case *wire.StopRuns:
@@ -111,13 +111,14 @@
 	case *wire.RunsQuery:
 		w.answer(k, m)
 	case *wire.RoomAsk:
-		w.p.part().asks++
+		w.p.part().requests++
 		w.room.Request(w.p.now, k.name, m)
-		w.settle(nil, false)
+		w.shareCapacity(nil, false)
 	}
 }
 
-// start takes what fits into the room that the coordinator may use.
+// start starts the runs that fit into the capacity which the coordinator may use, and hands back the
+// others.
 func (w *loadWorker) start(l *loadLink, m *wire.StartRuns) {
 	p, k := w.p, l.core
 	l.startSeq = m.Seq
@@ -130,27 +131,27 @@
 			continue
 		}
 		w.free = w.free.Sub(order.Need)
-		w.run(loadRun{k, order, p.now})
+		w.startRun(loadRun{k, order, p.now})
 	}
 	w.room.OrdersAccepted(k.name, w.free)
-	w.settle([]*loadCore{k}, false)
+	w.shareCapacity([]*loadCore{k}, false)
 }
 
 func (w *loadWorker) handBack(l *loadLink, ref wire.RunRef) {
 	p := w.p
 	w.sendEnd(l, wire.RunEnd{Ref: ref, How: uint8(wire.EndNotRun), Reason: "busy"})
-	if p.set.backOff && p.now.After(l.mutedTo) {
+	if p.set.backOff && p.now.After(l.backOffUntil) {
 		pause := time.Duration(5+15*hashed("back off %v %d", ref, w.number)) * time.Millisecond
-		l.mutedTo = p.now.Add(pause)
-		p.after(pause+time.Microsecond, func() { w.settle([]*loadCore{l.core}, false) })
+		l.backOffUntil = p.now.Add(pause)
+		p.after(pause+time.Microsecond, func() { w.shareCapacity([]*loadCore{l.core}, false) })
 	}
 }
 
-func (w *loadWorker) run(r loadRun) {
+func (w *loadWorker) startRun(r loadRun) {
 	p := w.p
-	p.startedOne(r.order.Ref.Task.Job)
+	p.noteStart(r.order.Ref.Task.Job)
 	if slices.ContainsFunc(p.workers, func(o *loadWorker) bool { return o.runs(r.order.Ref.Task) }) {
-		p.twice = append(p.twice, r.order.Ref.Task.String()+" runs twice")
+		p.ranTwice = append(p.ranTwice, r.order.Ref.Task.String()+" runs twice")
 	}
 	w.running = append(w.running, r)
 	if p.set.onStart != nil {
@@ -160,7 +161,7 @@
 	p.after(time.Duration(took), func() { w.ended(r.order.Ref, wire.EndDone) })
 }
 
-// ended ends a run, if it has not ended before.
+// ended ends a run, unless it has ended before.
 func (w *loadWorker) ended(ref wire.RunRef, how wire.End) {
 	at := slices.IndexFunc(w.running, func(r loadRun) bool { return r.order.Ref == ref })
 	if at < 0 {
@@ -171,7 +172,7 @@
 	w.free = w.free.Add(r.order.Need)
 	l := w.links[r.core.number]
 	w.sendEnd(l, wire.RunEnd{Ref: ref, How: uint8(how), RunMS: w.p.now.Sub(r.began).Milliseconds()})
-	w.settle(nil, true)
+	w.shareCapacity(nil, true)
 }
 
 // runs returns whether the task runs here.
@@ -179,7 +180,7 @@
 	return slices.ContainsFunc(w.running, func(r loadRun) bool { return r.order.Ref.Task == task })
 }
 
-// startedAfter returns whether anything that runs began later.
+// startedAfter returns whether any present run began after the moment.
 func (w *loadWorker) startedAfter(moment time.Time) bool {
 	return slices.ContainsFunc(w.running, func(r loadRun) bool { return r.began.After(moment) })
 }
@@ -190,7 +191,7 @@
 	}
 }
 
-// answer says which of the runs go on that a coordinator asks about.
+// answer reports the present runs of a coordinator in reply to its query.
 func (w *loadWorker) answer(k *loadCore, m *wire.RunsQuery) {
 	reply := &wire.PartitionRuns{Partition: wire.BestEffortRuns, StartSeq: w.links[k.number].startSeq}
 	for _, r := range w.running {
@@ -201,12 +202,12 @@
 	w.send(k, func(now time.Time) { k.core.Runs(now, w.name, reply) })
 }
 
-// send has the coordinator hear something, unless the connection is lost before.
+// send delivers a message to the coordinator after the delay, unless the connection is lost before.
 func (w *loadWorker) send(k *loadCore, what func(now time.Time)) {
-	l, life := w.links[k.number], w.life
+	l, incarnation := w.links[k.number], w.incarnation
 	w.p.after(k.delay, func() {
-		if l.up && life == w.life {
-			w.p.tell(k, what)
+		if l.up && incarnation == w.incarnation {
+			w.p.deliver(k, what)
 		}
 	})
 }
@@ -216,9 +217,10 @@
 	w.send(l.core, func(now time.Time) { l.core.core.Ends(now, w.name, m) })
 }
 
-// settle shares the room, and sends statuses: to those given, to whom room was granted, and
-// of what has come free to all while nobody asks.
-func (w *loadWorker) settle(to []*loadCore, freed bool) {
+// shareCapacity shares the free capacity, and sends statuses: to the given coordinators, to those that
+// got a grant, and to all if no coordinator requests capacity and either freed is true or one requested
+// it the last time.
+func (w *loadWorker) shareCapacity(to []*loadCore, freed bool) {
 	free := w.free
 	if !w.ready() {
 		free = durable.Resources{}
@@ -233,10 +235,10 @@
 	}
 }
 
-// status tells a coordinator of the worker's state.
+// status sends the worker's status to a coordinator.
 func (w *loadWorker) status(l *loadLink) {
 	p, k := w.p, l.core
-	if p.now.Before(l.mutedTo) {
+	if p.now.Before(l.backOffUntil) {
 		return
 	}
 	m := &wire.WorkerStatus{
@@ -248,8 +250,8 @@
 		TimeFactor:   uint32(100 * w.factor),
 		Waiting:      w.room.WaitingElsewhere(p.now, k.name),
 	}
-	if !l.told {
-		l.told = true
+	if !l.identified {
+		l.identified = true
 		m.Identity = &wire.BackendIdentity{Instance: w.name, Service: "s", Labels: []string{rackOf(w.number)}, Capacity: durable.Resources{CPU: loadCapacity, Memory: 1 << 20}}
 	}
 	w.room.StatusSent(p.now, k.name, m.Stamp)
--- a/jobs/scheduler/outliers.go
+++ b/jobs/scheduler/outliers.go
@@ -5,9 +5,9 @@
 // Limits of outlier detection. Slowness and failures are in percent, as in wire.WorkerStatus.
 const (
 	usualSlowness    = 100         // slowness of a worker that has reported none
-	outlierSlowness  = 2           // a worker at so many times its usual slowness and its peers' median becomes an outlier
+	outlierSlowness  = 2           // multiple of the usual slowness and of the peers' median that makes an outlier
 	restoredSlowness = 1.6         // an outlier below this is restored; in the units of outlierSlowness
-	outlierTime      = 2.2         // replaces both, times the peers' median, where all servers are taken to be equally fast
+	outlierTime      = 2.2         // multiple of the peers' median alone, where servers are taken to be equally fast
 	outlierFailing   = 35          // a worker with this share of failed runs is an outlier
 	probeEvery       = time.Second // interval of the tasks that an outlier gets from all coordinators together
 )
--- a/jobs/scheduler/overload_test.go
+++ b/jobs/scheduler/overload_test.go
@@ -17,23 +17,23 @@
 // deskKinds returns the kinds of jobs of the claims desk; urgent is the priority of the first.
 func deskKinds(urgent int32) []kindOfJob {
 	return []kindOfJob{
-		{name: "match", priority: urgent, perS: 24, width: 8, work: 60 * time.Millisecond},
-		{name: "verify", priority: 2, perS: 9.4, width: 4, work: 900 * time.Millisecond},
-		{name: "hold", priority: 1, perS: 69, width: 2, work: 200 * time.Millisecond},
+		{name: "match", priority: urgent, perSecond: 24, width: 8, work: 60 * time.Millisecond},
+		{name: "verify", priority: 2, perSecond: 9.4, width: 4, work: 900 * time.Millisecond},
+		{name: "hold", priority: 1, perSecond: 69, width: 2, work: 200 * time.Millisecond},
 	}
 }
 
 // desk returns the load of the claims desk at one coordinator.
-func desk(kinds []kindOfJob) loadSetting {
+func desk(kinds []kindOfJob) loadConfig {
 	cfg := config.DefaultLoadPolicy()
-	return loadSetting{kinds: kinds, coordinators: 1, workers: loadWorkers, seeds: 4, policy: cfg.Core(), burst: func(int) float64 { return burstX }}
+	return loadConfig{kinds: kinds, coordinators: 1, workers: loadWorkers, seeds: 4, policy: cfg.Core(), burst: func(int) float64 { return burstX }}
 }
 
 // TestOverload checks the shares in time in a burst: the urgent kind is not served worst, and better than
 // without its priority, and every other kind gets at least half of its share.
 func TestOverload(t *testing.T) {
-	with := playLoads(desk(deskKinds(0))).kinds
-	without := playLoads(desk(deskKinds(1))).kinds
+	with := simulateLoads(desk(deskKinds(0))).kinds
+	without := simulateLoads(desk(deskKinds(1))).kinds
 	for i, k := range deskKinds(0) {
 		t.Logf("%-8s with priority: %.3f in time, %d refused of %d; without: %.3f, %d", k.name, with[i].share(), with[i].refused, with[i].sent, without[i].share(), without[i].refused)
 	}
@@ -57,7 +57,7 @@
 func TestThirdOfTheRoomGone(t *testing.T) {
 	const evacuateAt = 3 * time.Second
 	set := desk(deskKinds(0))
-	set.also = func(p *loadPlay, at time.Duration) {
+	set.eachMillisecond = func(p *loadSim, at time.Duration) {
 		if at == evacuateAt {
 			p.evacuate("b")
 		}
@@ -70,7 +70,7 @@
 			}
 		}
 	}
-	out := playLoads(set).kinds
+	out := simulateLoads(set).kinds
 	for i, k := range deskKinds(0) {
 		t.Logf("%-8s %.3f in time, %d refused of %d", k.name, out[i].share(), out[i].refused, out[i].sent)
 	}
--- a/jobs/scheduler/overloadbench_test.go
+++ b/jobs/scheduler/overloadbench_test.go
@@ -11,16 +11,16 @@
 func BenchmarkOverloadSecond(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		newLoad(1, desk(deskKinds(0))).play()
+		newLoadSim(1, desk(deskKinds(0))).run()
 	}
 	const seconds = (loadLength + 2*time.Second) / time.Second
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(seconds)/1e6, "ms/second")
 }
 
-// BenchmarkWays simulates the overload of TestUnevenCallers with the alternatives of design 0012:
+// BenchmarkAlternatives simulates the overload of TestUnevenCallers with the alternatives of design 0012:
 // capacity requests, a race of orders, and a race after which a coordinator that lost leaves the worker
 // alone for a while. The metrics are shares.
-func BenchmarkWays(b *testing.B) {
+func BenchmarkAlternatives(b *testing.B) {
 	for _, coordinators := range []int{4, 12} {
 		for _, way := range []string{"asks", "race", "back_off"} {
 			b.Run(fmt.Sprintf("%d/%s", coordinators, way), func(b *testing.B) {
@@ -30,8 +30,8 @@
 				set.policy.AskForRoom = way == "asks"
 				set.backOff = way == "back_off"
 				for b.Loop() {
-					r := playLoads(set)
-					b.ReportMetric(r.over.backShare(), "handed_back")
+					r := simulateLoads(set)
+					b.ReportMetric(r.over.handedBackShare(), "handed_back")
 					b.ReportMetric(unevenness(r.cores), "worst/best")
 					for i := range r.kinds {
 						b.ReportMetric(r.kinds[i].share(), set.kinds[i].name)
--- a/jobs/scheduler/placement.go
+++ b/jobs/scheduler/placement.go
@@ -55,14 +55,15 @@
 // says how much more free capacity on another worker outweighs it. The score is a sum and not a
 // strict order of preference. weightAvoided is so large that only weightFailingAgain can outweigh
 // it, and weightLate outweighs rack, preference, data centre and free capacity together; the others
-// are traded off against free capacity.
+// are traded off against free capacity. weightSuspects keeps tasks with crashes apart, so that the next
+// crash shows which of them causes it.
 const (
 	weightAvoided      = 10.0 // subtracted on a worker where a run of the task failed or straggled
-	weightSuspects     = 4.0  // subtracted for a task with crashes beside another such task: the next crash has to show which of them causes it
+	weightSuspects     = 4.0  // subtracted for a task with crashes beside another such task
 	weightLate         = 4.0  // subtracted, times the risk that the task makes its job late there
 	weightRack         = 2.0  // added in the rack of the task's data
 	weightSpeed        = 1.0  // subtracted, times the share by which runs there exceed their estimates
-	weightPreferred    = 0.6  // added on a preferred worker: what this coordinator knows of its free capacity is the most accurate
+	weightPreferred    = 0.6  // added on a preferred worker, whose free capacity is known best here
 	weightDataCentre   = 0.02 // added in the coordinator's own data centre
 	weightFailing      = 1.0  // subtracted, times the share of the latest runs there that failed
 	weightFailingAgain = 8.0  // replaces weightFailing for a task that has failed before
--- a/jobs/scheduler/preference.go
+++ b/jobs/scheduler/preference.go
@@ -1,12 +1,13 @@
 package scheduler
 
-// Preference says whether new tasks go to a worker.
+// Preference says whether new tasks go to a worker. Other coordinators prefer other workers, so a
+// coordinator knows the free capacity of those that it prefers best.
 type Preference uint8
 
 // The preferences.
 const (
 	Neutral   Preference = iota // the worker gets tasks by its score, from any coordinator
-	Preferred                   // tasks go here first; other coordinators prefer other workers, so this one knows best what is free
+	Preferred                   // tasks go here first
 	Excluded                    // the worker gets no new tasks; its runs continue
 )
 
--- a/jobs/scheduler/sharedload_test.go
+++ b/jobs/scheduler/sharedload_test.go
@@ -10,22 +10,22 @@
 	"github.com/lichenfall/lichenfall/lib/ordered"
 )
 
-// What callers need of an overload that several coordinators share.
+// Limits that hold for loads which several coordinators share.
 const (
-	mostHandedBack     = 0.15 // of the orders while not all fits: each costs a round trip
-	mostHandedBackCalm = 0.02 // while half of the room is free
-	mostUneven         = 1.5  // missed jobs of the worst coordinator over those of the best: callers do not choose it
+	maxHandedBack     = 0.15 // share of the orders in the overload: each costs a round trip
+	maxHandedBackCalm = 0.02 // the same while half of the capacity is free
+	maxUnevenness     = 1.5  // missed share of the worst coordinator over that of the best; callers can't choose
 )
 
-// sharedDesk is the load of the desk at several coordinators, the busiest of which has three
-// times the callers of the least; in the burst a third more is asked for than there is. Jobs are
-// admitted as if each coordinator had all the room, so that what is uneven comes of how room
-// is shared, and not of how each judges its share.
-func sharedDesk(coordinators int) loadSetting {
+// sharedDesk returns the load of the claims desk at several coordinators, the busiest of which has three
+// times the callers of the least busy. The burst offers a third more work than the capacity. Each
+// coordinator admits jobs as if it had all the capacity, so that unevenness comes only from how free
+// capacity is shared, and not from how each coordinator estimates its share.
+func sharedDesk(coordinators int) loadConfig {
 	set := desk(deskKinds(0))
 	set.coordinators = coordinators
 	set.workers = max(loadWorkers, 5*coordinators/2)
-	set.seeds = 8 // so many that chance moves the unevenness by little
+	set.seeds = 8 // enough seeds that chance changes the unevenness only a little
 	if coordinators > 4 {
 		set.seeds = 4
 	}
@@ -34,22 +34,22 @@
 	return set
 }
 
-// times returns the load with so many times as many jobs.
-func (set loadSetting) times(x float64) loadSetting {
+// times returns the load with x times as many jobs.
+func (set loadConfig) times(x float64) loadConfig {
 	set.kinds = slices.Clone(set.kinds)
 	for i := range set.kinds {
-		set.kinds[i].perS *= x
+		set.kinds[i].perSecond *= x
 	}
 	return set
 }
 
 // steady returns the load without its burst.
-func (set loadSetting) steady() loadSetting {
+func (set loadConfig) steady() loadConfig {
 	set.burst = func(int) float64 { return 1 }
 	return set
 }
 
-// unevenness returns the share of missed jobs of the worst coordinator over that of the best.
+// unevenness returns the share of missed jobs at the worst coordinator over that at the best.
 func unevenness(cores []outcome) float64 {
 	byMissed := func(a, b outcome) int { return cmp.Compare(a.missedShare(), b.missedShare()) }
 	worst, best := slices.MaxFunc(cores, byMissed), slices.MinFunc(cores, byMissed)
@@ -57,80 +57,81 @@
 }
 
 func (r *loadResult) String() string {
-	s := fmt.Sprintf("handed back %.3f of %d in the overload, %.3f of %d outside; asks %d, %d; in time", r.over.backShare(), r.over.sent, r.calm.backShare(), r.calm.sent, r.over.asks, r.calm.asks)
+	s := fmt.Sprintf("handed back %.3f of %d in the overload, %.3f of %d outside; requests %d, %d; in time", r.over.handedBackShare(), r.over.sent, r.calm.handedBackShare(), r.calm.sent, r.over.requests, r.calm.requests)
 	for i := range r.kinds {
 		s += fmt.Sprintf(" %.3f", r.kinds[i].share())
 	}
 	return s + fmt.Sprintf("; missed, worst coordinator over best: %.2f", unevenness(r.cores))
 }
 
-// wantWhole checks that nothing is left when a load is over.
-func wantWhole(t *testing.T, r *loadResult) {
+// checkNothingLeft checks that there are no violations at the end of a simulation.
+func checkNothingLeft(t *testing.T, r *loadResult) {
 	t.Helper()
 	for _, what := range r.left {
 		t.Error(what)
 	}
 }
 
-// wantOrdered checks that orders are not a race, and that nothing is left.
-func wantOrdered(t *testing.T, r *loadResult) {
+// checkFewHandedBack checks that few orders are handed back in the overload, as they would be in a race
+// of coordinators, and that nothing is left.
+func checkFewHandedBack(t *testing.T, r *loadResult) {
 	t.Helper()
-	wantWhole(t, r)
-	if share := r.over.backShare(); share > mostHandedBack {
+	checkNothingLeft(t, r)
+	if share := r.over.handedBackShare(); share > maxHandedBack {
 		t.Errorf("%.3f of the orders were handed back in the overload", share)
 	}
 }
 
-// wantShared checks also that it does not matter by which coordinator a caller comes.
-func wantShared(t *testing.T, r *loadResult) {
+// checkEven also checks that callers of all coordinators are served about equally well.
+func checkEven(t *testing.T, r *loadResult) {
 	t.Helper()
-	wantOrdered(t, r)
-	if x := unevenness(r.cores); x > mostUneven {
+	checkFewHandedBack(t, r)
+	if x := unevenness(r.cores); x > maxUnevenness {
 		t.Errorf("callers of the worst coordinator miss %.2f times as much as those of the best", x)
 	}
 }
 
-// TestUnevenCallers plays an overload of 1.3 whose callers are spread unevenly over four
-// and over twelve coordinators.
+// TestUnevenCallers simulates an overload of 1.3 times the capacity, with callers spread unevenly over
+// four and over twelve coordinators.
 func TestUnevenCallers(t *testing.T) {
 	t.Parallel()
 	for _, coordinators := range []int{4, 12} {
 		t.Run(fmt.Sprint(coordinators), func(t *testing.T) {
 			set := sharedDesk(coordinators)
-			r := playLoads(set)
+			r := simulateLoads(set)
 			t.Logf("%v", r)
-			wantShared(t, r)
+			checkEven(t, r)
 		})
 	}
 }
 
-// TestCalmIsShared plays a steady load of half the room: hardly an order comes back.
+// TestCalmIsShared simulates a steady load of half the capacity: hardly any order is handed back.
 func TestCalmIsShared(t *testing.T) {
 	t.Parallel()
 	for _, coordinators := range []int{4, 12} {
-		r := playLoads(sharedDesk(coordinators).steady().times(0.7))
+		r := simulateLoads(sharedDesk(coordinators).steady().times(0.7))
 		t.Logf("%d coordinators: %v", coordinators, r)
-		wantWhole(t, r)
-		if share := (r.calm.backShare() + r.over.backShare()) / 2; share > mostHandedBackCalm {
+		checkNothingLeft(t, r)
+		if share := (r.calm.handedBackShare() + r.over.handedBackShare()) / 2; share > maxHandedBackCalm {
 			t.Errorf("%d coordinators: %.3f of the orders were handed back", coordinators, share)
 		}
 	}
 }
 
-// TestRoomForAll plays a load that always fits: nobody is asked for room, and every job starts
-// as soon as if nobody could be.
+// TestRoomForAll simulates a load that always fits: no capacity is requested, and every job starts at the
+// same time as with capacity requests switched off.
 func TestRoomForAll(t *testing.T) {
 	t.Parallel()
 	set := sharedDesk(4).steady().times(0.25)
 	set.seeds = 4
-	with := playLoads(set)
+	with := simulateLoads(set)
 	set.policy.AskForRoom = false
-	without := playLoads(set)
-	if n := with.calm.asks + with.over.asks; n > 0 {
-		t.Errorf("%d asks", n)
+	without := simulateLoads(set)
+	if n := with.calm.requests + with.over.requests; n > 0 {
+		t.Errorf("%d capacity requests", n)
 	}
 	if len(with.starts) == 0 || !slices.Equal(with.starts, without.starts) {
-		t.Errorf("%d jobs start otherwise than without", len(with.starts))
+		t.Errorf("%d jobs start at other times than without capacity requests", len(with.starts))
 	}
 }
 
@@ -145,86 +146,86 @@
 	return ordered.Values(sums)
 }
 
-// TestDemandMoves plays an overload whose callers move from one data centre to the other
-// in its middle: it does not matter by which of them a caller comes.
+// TestDemandMoves simulates an overload in the middle of which callers move from one data centre to the
+// other: those of both are served about equally well.
 func TestDemandMoves(t *testing.T) {
 	t.Parallel()
 	const movesAt = 3500 * time.Millisecond
 	set := sharedDesk(6)
-	set.callers = func(p *loadPlay, core int) float64 {
+	set.callers = func(p *loadSim, core int) float64 {
 		if (dataCentreOf(core) == "a") == (p.at() < movesAt) {
 			return 3
 		}
 		return 1
 	}
-	r := playLoads(set)
+	r := simulateLoads(set)
 	x := unevenness(byDataCentre(r.cores))
 	t.Logf("%v; data centres: %.2f", r, x)
-	wantOrdered(t, r)
-	if x > mostUneven {
+	checkFewHandedBack(t, r)
+	if x > maxUnevenness {
 		t.Errorf("callers of the worst data centre miss %.2f times as much as those of the best", x)
 	}
 }
 
-// TestTwoKindsBurst plays bursts of the urgent kind and of the small jobs together.
+// TestTwoKindsBurst simulates a burst of the urgent kind together with one of the small jobs.
 func TestTwoKindsBurst(t *testing.T) {
 	t.Parallel()
 	set := sharedDesk(4)
 	set.burst = func(kind int) float64 { return []float64{2.5, 1, 2.5}[kind] }
-	r := playLoads(set)
+	r := simulateLoads(set)
 	t.Logf("%v", r)
-	wantOrdered(t, r)
+	checkFewHandedBack(t, r)
 }
 
-// TestThirdOfTheSharedRoomGone evacuates a data centre with a third of the room in the middle
-// of an overload at four coordinators.
+// TestThirdOfTheSharedRoomGone evacuates a data centre with a third of the capacity in the middle of an
+// overload at four coordinators: nothing is started there.
 func TestThirdOfTheSharedRoomGone(t *testing.T) {
 	t.Parallel()
-	const goneAt = 3 * time.Second
+	const evacuateAt = 3 * time.Second
 	set := sharedDesk(4)
-	set.also = func(p *loadPlay, at time.Duration) {
-		if at == goneAt {
+	set.eachMillisecond = func(p *loadSim, at time.Duration) {
+		if at == evacuateAt {
 			p.evacuate("b")
 		}
 		for _, w := range p.workers {
-			if at > goneAt && !w.ready() && w.startedAfter(p.began.Add(goneAt)) {
-				t.Fatalf("a run begins in the evacuated data centre %v after", at-goneAt)
+			if at > evacuateAt && !w.ready() && w.startedAfter(p.began.Add(evacuateAt)) {
+				t.Fatalf("a run begins in the evacuated data centre, %v after the evacuation", at-evacuateAt)
 			}
 		}
 	}
-	r := playLoads(set)
+	r := simulateLoads(set)
 	t.Logf("%v", r)
-	wantOrdered(t, r)
+	checkFewHandedBack(t, r)
 }
 
-// TestCoordinatorDiesWithGrants ends a coordinator without a word in an overload, while room is
-// kept for it: the others go on, and nothing stays kept.
+// TestCoordinatorDiesWithGrants kills a coordinator in an overload while workers hold grants for it: the
+// others continue, and no grant is left.
 func TestCoordinatorDiesWithGrants(t *testing.T) {
 	t.Parallel()
-	const diesAt = 3 * time.Second
+	const killAt = 3 * time.Second
 	set := sharedDesk(4)
-	set.also = func(p *loadPlay, at time.Duration) {
-		if at == diesAt {
+	set.eachMillisecond = func(p *loadSim, at time.Duration) {
+		if at == killAt {
 			p.kill(p.cores[1])
 		}
 	}
-	r := playLoads(set)
+	r := simulateLoads(set)
 	t.Logf("%v", r)
-	wantOrdered(t, r)
+	checkFewHandedBack(t, r)
 }
 
-// TestWorkersRestartWithAsks has all workers' processes begin anew in an overload, one after
-// the other: what waits is asked for again, and no task runs twice.
+// TestWorkersRestartWithAsks restarts the processes of all workers in an overload, one after the other:
+// coordinators request capacity again, and no task runs twice.
 func TestWorkersRestartWithAsks(t *testing.T) {
 	t.Parallel()
 	const restartsFrom = 3 * time.Second
 	set := sharedDesk(4)
-	set.also = func(p *loadPlay, at time.Duration) {
+	set.eachMillisecond = func(p *loadSim, at time.Duration) {
 		if i := int((at - restartsFrom) / (50 * time.Millisecond)); at >= restartsFrom && at%(50*time.Millisecond) == 0 && i < len(p.workers) {
 			p.workers[i].restart()
 		}
 	}
-	r := playLoads(set)
+	r := simulateLoads(set)
 	t.Logf("%v", r)
-	wantOrdered(t, r)
+	checkFewHandedBack(t, r)
 }
--- a/jobs/scheduler/silences.go
+++ b/jobs/scheduler/silences.go
@@ -14,7 +14,7 @@
 // silent is suspended, so that it does not crash another server with each second of uncertainty. A
 // task that is not at fault is delayed by silenceWait at most.
 const (
-	minSilences = 2                       // silent or crashed servers from which on a task is suspended; after one it is queued again at once
+	minSilences = 2                       // servers from which on a task is suspended; after one it is queued at once
 	silenceWait = 2500 * time.Millisecond // less than the 3 s for which the users let a job stand still
 )
 
--- a/jobs/scheduler/speed_test.go
+++ b/jobs/scheduler/speed_test.go
@@ -26,7 +26,7 @@
 		w    func() *worker
 		want float64
 	}{
-		{"reported", func() *worker { _, w := coreWithSpeed(true, "i", 160); return w }, 1.6},
+		{"told", func() *worker { _, w := coreWithSpeed(true, "i", 160); return w }, 1.6},
 		{"not known", func() *worker { _, w := coreWithSpeed(true, "i", 0); return w }, 1},
 		{"all servers are taken to be equally fast", func() *worker { _, w := coreWithSpeed(false, "i", 160); return w }, 1},
 		{"the worker process has restarted", func() *worker {
