--- a/jobs/scheduler/dispatch.go
+++ b/jobs/scheduler/dispatch.go
@@ -55,15 +55,15 @@
 			skipped = append(skipped, t)
 			continue
 		}
-		f := c.evaluatorFor(now, t, r)
-		cand := c.choose(&f, r.workers)
+		e := c.evaluatorFor(now, t, r)
+		cand := c.choose(&e, r.workers)
 		switch {
 		case cand == nil:
 			skipped = append(skipped, t)
-		case len(held) < lookAhead && c.shouldHold(r, &f, cand):
+		case len(held) < lookAhead && c.shouldHold(r, &e, cand):
 			held = append(held, t)
 		default:
-			c.orderRun(now, epoch, &f, cand, orders)
+			c.orderRun(now, epoch, &e, cand, orders)
 		}
 	}
 	skipped = append(skipped, held...)
@@ -90,8 +90,8 @@
 
 // orderRun adds a run of the task to the orders for the candidate's worker. On an outlier the run is
 // its probe.
-func (c *Core) orderRun(now time.Time, epoch uint64, f *evaluator, cand *candidate, orders map[*worker]*wire.StartRuns) {
-	t, w := f.t, cand.w
+func (c *Core) orderRun(now time.Time, epoch uint64, e *evaluator, cand *candidate, orders map[*worker]*wire.StartRuns) {
+	t, w := e.t, cand.w
 	cand.free = cand.free.Sub(t.step.Need)
 	if w.outlier {
 		w.probedAt = now
@@ -111,11 +111,11 @@
 		Spec:       t.job.sub.Spec,
 		Need:       t.step.Need,
 		Checkpoint: t.checkpoint,
-		EstimateMS: int64(f.estimateAt(w)),
-		LimitMS:    c.limitOf(f, cand).Milliseconds(),
+		EstimateMS: int64(e.estimateAt(w)),
+		LimitMS:    c.limitOf(e, cand).Milliseconds(),
 		Crashes:    uint32(len(t.crashes)),
 	})
-	c.note(Note{What: RunOrdered, Task: t.id.String(), Run: t.run, Worker: w.name, Reason: f.reason(cand), Measure: JobAgeMS, Value: t.job.age(now), Frequent: true})
+	c.note(Note{What: RunOrdered, Task: t.id.String(), Run: t.run, Worker: w.name, Reason: e.reason(cand), Measure: JobAgeMS, Value: t.job.age(now), Frequent: true})
 }
 
 // assign records that the task is with the worker.
--- a/jobs/scheduler/expected.go
+++ b/jobs/scheduler/expected.go
@@ -17,12 +17,12 @@
 
 // evaluatorFor returns the evaluator for the task.
 func (c *Core) evaluatorFor(now time.Time, t *task, r *round) evaluator {
-	f := evaluator{t: t, bySpeed: c.cfg.Load.PlaceBySpeed, estimate: float64(t.step.EstimateMS), remoteFactor: 1, speedWeight: r.speedWeight}
-	if f.bySpeed && t.step.Affinity != "" {
-		f.remoteFactor = max(1, c.cfg.Load.RemoteFactor)
+	e := evaluator{t: t, bySpeed: c.cfg.Load.PlaceBySpeed, estimate: float64(t.step.EstimateMS), remoteFactor: 1, speedWeight: r.speedWeight}
+	if e.bySpeed && t.step.Affinity != "" {
+		e.remoteFactor = max(1, c.cfg.Load.RemoteFactor)
 	}
-	f.remaining = t.due.Sub(now).Seconds()*1000 + f.estimate
-	return f
+	e.remaining = t.due.Sub(now).Seconds()*1000 + e.estimate
+	return e
 }
 
 // near returns whether the worker is in the rack of the step's data.
@@ -31,28 +31,28 @@
 }
 
 // far returns whether a run takes longer on the worker because its data is in another rack.
-func (f *evaluator) far(w *worker) bool { return f.remoteFactor > 1 && !f.t.near(w) }
+func (e *evaluator) far(w *worker) bool { return e.remoteFactor > 1 && !e.t.near(w) }
 
 // estimateAt returns the estimate of a run on the worker. It includes the distance from the data but
 // not the worker's own speed.
-func (f *evaluator) estimateAt(w *worker) float64 {
-	if f.far(w) {
-		return f.estimate * f.remoteFactor
+func (e *evaluator) estimateAt(w *worker) float64 {
+	if e.far(w) {
+		return e.estimate * e.remoteFactor
 	}
-	return f.estimate
+	return e.estimate
 }
 
 // expected returns how long one run on the candidate is expected to take.
-func (f *evaluator) expected(cand *candidate) float64 {
-	if !f.bySpeed {
-		return f.estimate
+func (e *evaluator) expected(cand *candidate) float64 {
+	if !e.bySpeed {
+		return e.estimate
 	}
-	return f.estimateAt(cand.w) * cand.factor
+	return e.estimateAt(cand.w) * cand.factor
 }
 
 // total returns how long the task is expected to take on the candidate, with the repetition of the
 // share of runs that fail there.
-func (f *evaluator) total(cand *candidate) float64 { return f.expected(cand) * (1 + cand.w.failing()) }
+func (e *evaluator) total(cand *candidate) float64 { return e.expected(cand) * (1 + cand.w.failing()) }
 
 // safetyFactor times the expected total has to remain for a task to be at no risk: the times of runs
 // scatter, and the longest of a job's tasks decides when the job ends.
@@ -60,15 +60,15 @@
 
 // risk returns the risk that the task makes its job late on the candidate: 0 while safetyFactor
 // times the expected total remains, 1 when the task is expected to be late.
-func (f *evaluator) risk(cand *candidate) float64 {
-	total := f.total(cand)
+func (e *evaluator) risk(cand *candidate) float64 {
+	total := e.total(cand)
 	switch {
-	case f.remaining >= safetyFactor*total:
+	case e.remaining >= safetyFactor*total:
 		return 0
-	case f.remaining <= total:
+	case e.remaining <= total:
 		return 1
 	}
-	return (safetyFactor - f.remaining/total) / (safetyFactor - 1)
+	return (safetyFactor - e.remaining/total) / (safetyFactor - 1)
 }
 
 // Reasons that the log gives for a run that was ordered on a worker which is not ideal for it.
@@ -79,14 +79,14 @@
 )
 
 // reason returns the reason that the log gives for a run on the candidate; empty if there is none.
-func (f *evaluator) reason(cand *candidate) string {
-	late := f.bySpeed && f.risk(cand) >= 1
+func (e *evaluator) reason(cand *candidate) string {
+	late := e.bySpeed && e.risk(cand) >= 1
 	switch {
-	case late && f.far(cand.w):
+	case late && e.far(cand.w):
 		return reasonLateFar
 	case late && cand.factor > 1:
 		return reasonLateSlow
-	case f.far(cand.w):
+	case e.far(cand.w):
 		return reasonFar
 	}
 	return ""
--- a/jobs/scheduler/expected_test.go
+++ b/jobs/scheduler/expected_test.go
@@ -59,10 +59,10 @@
 			for _, affinity := range []string{"", rack} {
 				tk := taskOf(now, 760, affinity, slack)
 				for _, weight := range []float64{-1, 0, 1} {
-					f := c.evaluatorFor(now, tk, &round{speedWeight: weight})
+					e := c.evaluatorFor(now, tk, &round{speedWeight: weight})
 					for _, a := range candidates {
 						for _, b := range candidates {
-							checkChoice(t, c, &f, []candidate{a, b})
+							checkChoice(t, c, &e, []candidate{a, b})
 						}
 					}
 				}
@@ -72,20 +72,20 @@
 }
 
 // checkChoice checks which of the candidates is chosen.
-func checkChoice(t *testing.T, c *Core, f *evaluator, candidates []candidate) {
+func checkChoice(t *testing.T, c *Core, e *evaluator, candidates []candidate) {
 	inTime, startable := false, false
 	for i := range candidates {
-		if f.t.canStart(&candidates[i]) {
+		if e.t.canStart(&candidates[i]) {
 			startable = true
-			inTime = inTime || f.risk(&candidates[i]) == 0
+			inTime = inTime || e.risk(&candidates[i]) == 0
 		}
 	}
-	best := c.choose(f, candidates)
+	best := c.choose(e, candidates)
 	if (best != nil) != startable {
 		t.Fatalf("a candidate can start the task: %v; chosen: %v", startable, best)
 	}
-	if best != nil && inTime && f.risk(best) >= 1 {
-		t.Fatalf("%+v: chosen %+v, where the task is late, of %+v", f, best, candidates)
+	if best != nil && inTime && e.risk(best) >= 1 {
+		t.Fatalf("%+v: chosen %+v, where the task is late, of %+v", e, best, candidates)
 	}
 }
 
@@ -100,17 +100,17 @@
 		slow := candidateOf(rapid.SampledFrom([]float64{1, 1.6, 3}).Draw(t, "slow"), 16000, "r2")
 		r := &round{workers: append(rapid.SliceOfN(rapid.SampledFrom(full), 1, 8).Draw(t, "full"), slow)}
 		tk := taskOf(now, rapid.SampledFrom([]int64{51, 170, 760}).Draw(t, "estimate"), rapid.SampledFrom([]string{"", rack}).Draw(t, "affinity"), rapid.SampledFrom(slacks).Draw(t, "slack"))
-		f := c.evaluatorFor(now, tk, r)
-		best := c.choose(&f, r.workers)
-		if best == nil || !c.shouldHold(r, &f, best) {
+		e := c.evaluatorFor(now, tk, r)
+		best := c.choose(&e, r.workers)
+		if best == nil || !c.shouldHold(r, &e, best) {
 			return
 		}
 		held++
-		if !now.Before(tk.due) || len(f.fasterWorkers(r.workers, best)) == 0 {
-			t.Fatalf("held %v before its due time, for %v workers", tk.due.Sub(now), len(f.fasterWorkers(r.workers, best)))
+		if !now.Before(tk.due) || len(e.fasterWorkers(r.workers, best)) == 0 {
+			t.Fatalf("held %v before its due time, for %v workers", tk.due.Sub(now), len(e.fasterWorkers(r.workers, best)))
 		}
 		const many = 10_000
-		for n := 0; c.shouldHold(r, &f, best); n++ {
+		for n := 0; c.shouldHold(r, &e, best); n++ {
 			if n == many {
 				t.Fatal("the number of held tasks is not limited")
 			}
@@ -141,8 +141,8 @@
 	} {
 		c := coreBySpeed(2)
 		c.cfg.Load.PlaceBySpeed = x.bySpeed
-		f := c.evaluatorFor(now, tk, &round{})
-		if limit, estimate := c.limitOf(&f, &x.at), f.estimateAt(x.at.w); limit != x.limit || estimate != x.estimate {
+		e := c.evaluatorFor(now, tk, &round{})
+		if limit, estimate := c.limitOf(&e, &x.at), e.estimateAt(x.at.w); limit != x.limit || estimate != x.estimate {
 			t.Errorf("limit %v, estimate %v; want %v, %v", limit, estimate, x.limit, x.estimate)
 		}
 	}
@@ -192,15 +192,15 @@
 		{0.5, candidateOf(1, 16000, "r2"), reasonLateFar},
 		{0.5, candidateOf(1.6, 16000, rack), reasonLateSlow},
 	} {
-		f := c.evaluatorFor(now, taskOf(now, 100, rack, x.slack), &round{})
-		if got := f.reason(&x.at); got != x.want {
+		e := c.evaluatorFor(now, taskOf(now, 100, rack, x.slack), &round{})
+		if got := e.reason(&x.at); got != x.want {
 			t.Errorf("reason %q, want %q", got, x.want)
 		}
 	}
 	r := &round{workers: []candidate{candidateOf(1, 0, rack), candidateOf(1, 16000, "r2")}}
-	f := c.evaluatorFor(now, taskOf(now, 100, rack, 0.5), r)
+	e := c.evaluatorFor(now, taskOf(now, 100, rack, 0.5), r)
 	for range 2 {
-		if !c.shouldHold(r, &f, &r.workers[1]) {
+		if !c.shouldHold(r, &e, &r.workers[1]) {
 			t.Fatal("the task is not held")
 		}
 	}
--- a/jobs/scheduler/hold.go
+++ b/jobs/scheduler/hold.go
@@ -13,33 +13,33 @@
 
 // shouldHold returns whether the task waits for a faster worker although best, the best candidate
 // with free capacity, could start it.
-func (c *Core) shouldHold(r *round, f *evaluator, best *candidate) bool {
-	if !f.bySpeed || f.risk(best) <= holdRisk {
+func (c *Core) shouldHold(r *round, e *evaluator, best *candidate) bool {
+	if !e.bySpeed || e.risk(best) <= holdRisk {
 		return false
 	}
-	faster := f.fasterWorkers(r.workers, best)
+	faster := e.fasterWorkers(r.workers, best)
 	if len(faster) == 0 {
 		return false
 	}
-	total := f.leastTotal(faster)
-	work := float64(f.t.step.Need.CPU) * total
-	wait := c.holdWait(f.t, faster, work)
-	allowed := holdShare * (f.remaining - max(total, f.estimate))
+	total := e.leastTotal(faster)
+	work := float64(e.t.step.Need.CPU) * total
+	wait := c.holdWait(e.t, faster, work)
+	allowed := holdShare * (e.remaining - max(total, e.estimate))
 	if wait > allowed {
 		return false
 	}
 	for _, cand := range faster {
 		cand.heldFor += work / float64(len(faster))
 	}
-	c.noteHeld(f.t, wait, allowed)
+	c.noteHeld(e.t, wait, allowed)
 	return true
 }
 
 // leastTotal returns the least expected total of the task on any of the candidates.
-func (f *evaluator) leastTotal(candidates []*candidate) float64 {
+func (e *evaluator) leastTotal(candidates []*candidate) float64 {
 	least := math.Inf(1)
 	for _, cand := range candidates {
-		least = min(least, f.total(cand))
+		least = min(least, e.total(cand))
 	}
 	return least
 }
@@ -58,15 +58,15 @@
 
 // fasterWorkers returns the candidates that may run the task, have no free capacity for it now, and
 // where it is expected to end clearly sooner than on best, and in time.
-func (f *evaluator) fasterWorkers(workers []candidate, best *candidate) []*candidate {
+func (e *evaluator) fasterWorkers(workers []candidate, best *candidate) []*candidate {
 	var faster []*candidate
-	most := fasterFactor * f.total(best)
+	most := fasterFactor * e.total(best)
 	for i := range workers {
 		cand := &workers[i]
-		if f.total(cand) > most || f.risk(cand) > holdRisk || f.t.avoids(cand.w) {
+		if e.total(cand) > most || e.risk(cand) > holdRisk || e.t.avoids(cand.w) {
 			continue
 		}
-		if f.t.compatible(cand) && !f.t.step.Need.Fits(cand.free) && f.t.step.Need.Fits(cand.w.identity.Capacity) {
+		if e.t.compatible(cand) && !e.t.step.Need.Fits(cand.free) && e.t.step.Need.Fits(cand.w.identity.Capacity) {
 			faster = append(faster, cand)
 		}
 	}
--- a/jobs/scheduler/loadplay_test.go
+++ b/jobs/scheduler/loadplay_test.go
@@ -328,11 +328,11 @@
 }
 
 // deliver passes an event to a coordinator, and carries out the effects.
-func (p *loadSim) deliver(k *loadCore, what func(now time.Time)) {
+func (p *loadSim) deliver(k *loadCore, event func(now time.Time)) {
 	if k.down {
 		return
 	}
-	what(p.now)
+	event(p.now)
 	e := k.core.Take(p.now)
 	for _, s := range e.Sends {
 		w := p.workers[slices.IndexFunc(p.workers, func(w *loadWorker) bool { return w.name == s.Worker })]
--- a/jobs/scheduler/loadworker_test.go
+++ b/jobs/scheduler/loadworker_test.go
@@ -203,11 +203,11 @@
 }
 
 // send delivers a message to the coordinator after the delay, unless the connection is lost before.
-func (w *loadWorker) send(k *loadCore, what func(now time.Time)) {
+func (w *loadWorker) send(k *loadCore, event func(now time.Time)) {
 	l, incarnation := w.links[k.number], w.incarnation
 	w.p.after(k.delay, func() {
 		if l.up && incarnation == w.incarnation {
-			w.p.deliver(k, what)
+			w.p.deliver(k, event)
 		}
 	})
 }
--- a/jobs/scheduler/placement.go
+++ b/jobs/scheduler/placement.go
@@ -18,15 +18,15 @@
 // choose returns the candidate with the highest score among those that can start the task, or nil.
 // A task that a worker has handed back goes only to workers whose status is fresh, while
 // coordinators request capacity.
-func (c *Core) choose(f *evaluator, workers []candidate) *candidate {
+func (c *Core) choose(e *evaluator, workers []candidate) *candidate {
 	var best *candidate
 	bestScore := 0.0
 	for i := range workers {
 		cand := &workers[i]
-		if !f.t.canStart(cand) || c.cfg.Load.AskForRoom && f.t.handedBack && !cand.fresh {
+		if !e.t.canStart(cand) || c.cfg.Load.AskForRoom && e.t.handedBack && !cand.fresh {
 			continue
 		}
-		if score := c.score(f, cand); best == nil || score > bestScore {
+		if score := c.score(e, cand); best == nil || score > bestScore {
 			best, bestScore = cand, score
 		}
 	}
@@ -71,8 +71,8 @@
 )
 
 // score returns how well the candidate suits the task; the highest score is chosen.
-func (c *Core) score(f *evaluator, cand *candidate) float64 {
-	t, w := f.t, cand.w
+func (c *Core) score(e *evaluator, cand *candidate) float64 {
+	t, w := e.t, cand.w
 	score := 0.0
 	if t.avoids(w) {
 		score -= weightAvoided
@@ -80,8 +80,8 @@
 	if len(t.crashes) > 0 && w.hasSuspect() {
 		score -= weightSuspects
 	}
-	if f.bySpeed {
-		score -= f.slownessPenalty(cand)
+	if e.bySpeed {
+		score -= e.slownessPenalty(cand)
 	}
 	if w.preference == Preferred {
 		score += weightPreferred
@@ -103,12 +103,12 @@
 // slownessPenalty returns what is subtracted for the time that the task takes on the candidate.
 // Where it is certain to be in time, the free capacity of all workers decides whether fast workers
 // are preferred or left to other tasks (speedPreference). Where it is not, faster is better.
-func (f *evaluator) slownessPenalty(cand *candidate) float64 {
+func (e *evaluator) slownessPenalty(cand *candidate) float64 {
 	beyond := weightSpeed * (cand.factor - 1)
-	if risk := f.risk(cand); risk > 0 {
+	if risk := e.risk(cand); risk > 0 {
 		return weightLate*risk + beyond
 	}
-	return f.speedWeight * beyond
+	return e.speedWeight * beyond
 }
 
 // allowedOn returns whether the step's constraints allow the task on the worker: the label that the
--- a/jobs/scheduler/score_test.go
+++ b/jobs/scheduler/score_test.go
@@ -24,8 +24,8 @@
 		if !tk.canStart(&a) || !tk.canStart(&b) {
 			continue
 		}
-		f := c.evaluatorFor(time.Time{}, tk, &round{})
-		if (c.score(&f, &a) > c.score(&f, &b)) != (compareStrictly(c, tk, &a, &b) > 0) {
+		e := c.evaluatorFor(time.Time{}, tk, &round{})
+		if (c.score(&e, &a) > c.score(&e, &b)) != (compareStrictly(c, tk, &a, &b) > 0) {
 			different++
 		}
 	}
--- a/jobs/scheduler/stragglers.go
+++ b/jobs/scheduler/stragglers.go
@@ -9,10 +9,10 @@
 // as a straggler; 0 sets no limit. The limit follows the time that the run is expected to take
 // there. It doubles with each run that was stopped, in case the estimate is wrong and not the worker
 // slow.
-func (c *Core) limitOf(f *evaluator, cand *candidate) time.Duration {
-	if f.estimate <= 0 {
+func (c *Core) limitOf(e *evaluator, cand *candidate) time.Duration {
+	if e.estimate <= 0 {
 		return 0
 	}
-	x := c.cfg.StragglerX * float64(int(1)<<min(f.t.straggles, maxDoublings))
-	return time.Duration(x*f.expected(cand)*float64(time.Millisecond)) + c.cfg.StragglerMin
+	x := c.cfg.StragglerX * float64(int(1)<<min(e.t.straggles, maxDoublings))
+	return time.Duration(x*e.expected(cand)*float64(time.Millisecond)) + c.cfg.StragglerMin
 }
