--- a/jobs/coordinator/events.go
+++ b/jobs/coordinator/events.go
@@ -12,14 +12,15 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// event is what another goroutine tells the control goroutine, which applies it.
+// event is posted by another goroutine, and applied to the coordinator's state by the control
+// goroutine.
 type event interface {
 	apply(c *Coordinator, now time.Time)
 }
 
 func (c *Coordinator) handle(now time.Time, e event) { e.apply(c, now) }
 
-// joined is the answer to a join of the group of owners.
+// joined is the result of a join of the group of owners.
 type joined struct {
 	sent       time.Time
 	assignment store.Assignment
@@ -31,9 +32,9 @@
 		c.joinFailed(now, e)
 		return
 	}
-	if c.joinsFailed > 0 {
-		c.log.Info("join_succeeds", zap.Int("failed_before", c.joinsFailed))
-		c.joinsFailed = 0
+	if c.failedJoins > 0 {
+		c.log.Info("join_succeeds", zap.Int("failed_before", c.failedJoins))
+		c.failedJoins = 0
 	}
 	if c.leaving {
 		return
@@ -52,18 +53,18 @@
 	c.checkLease(now)
 	c.core.Confirmed(now, e.sent)
 	if len(change.Released)+len(change.Acquired) > 0 {
-		c.joinSoon()
+		c.requestJoin()
 	}
 }
 
-// joinFailed logs the first failure of a row.
+// joinFailed logs the first of consecutive failures.
 func (c *Coordinator) joinFailed(now time.Time, e joined) {
-	if c.joinsFailed++; c.joinsFailed == 1 {
+	if c.failedJoins++; c.failedJoins == 1 {
 		c.log.Warn("join_failed", zap.Error(e.err), zap.Duration("took", now.Sub(e.sent)))
 	}
 }
 
-// partitionRead is what the store has of a partition, read under the epoch.
+// partitionRead holds the jobs of a partition as they were read from the store under the epoch.
 type partitionRead struct {
 	partition uint32
 	epoch     uint64
@@ -84,16 +85,16 @@
 	c.announcedAt = time.Time{}
 }
 
-// partitionLost says that a newer owner of a partition has been seen.
+// partitionLost reports that the store knows a newer owner of the partition.
 type partitionLost struct{ partition uint32 }
 
 func (e partitionLost) apply(c *Coordinator, now time.Time) {
 	c.owned.Lost(e.partition)
 	c.release(now, e.partition, "fenced")
-	c.joinSoon()
+	c.requestJoin()
 }
 
-// committed says how a commit went.
+// committed is the result of a commit to the partition under the epoch.
 type committed struct {
 	partition uint32
 	epoch     uint64
@@ -110,47 +111,50 @@
 	}
 }
 
-// membersHeard holds processes that are registered.
-type membersHeard struct{ members []store.Member }
+// membersReceived holds processes that have registered or changed their records; the first such
+// event holds all that are registered.
+type membersReceived struct{ members []store.Member }
 
-func (e membersHeard) apply(c *Coordinator, now time.Time) { c.updateMembers(now, e.members) }
+func (e membersReceived) apply(c *Coordinator, now time.Time) { c.updateMembers(now, e.members) }
 
-// evacuationsHeard holds the data centres in which nothing may be started, as the store has
-// just told.
-type evacuationsHeard struct{ evacuations routing.Evacuations }
+// evacuationsReceived holds the data centres in which no task may start, as just read from the
+// store.
+type evacuationsReceived struct{ evacuations routing.Evacuations }
 
-func (e evacuationsHeard) apply(c *Coordinator, now time.Time) {
+func (e evacuationsReceived) apply(c *Coordinator, now time.Time) {
 	if c.core.Evacuate(now, e.evacuations) {
 		c.chooseWorkers(now)
 	}
 }
 
-// called is a caller's request, ours or passed on by another coordinator.
-type called struct{ call *call }
+// callReceived is a call of a caller of ours.
+type callReceived struct{ call *call }
 
-func (e called) apply(c *Coordinator, now time.Time) { c.handleCall(now, e.call) }
+func (e callReceived) apply(c *Coordinator, now time.Time) { c.handleCall(now, e.call) }
 
-// callerLeft says that one of our own callers no longer waits.
+// callerLeft reports that a caller of ours no longer waits.
 type callerLeft struct{ call *call }
 
-func (e callerLeft) apply(c *Coordinator, now time.Time) { c.forget(now, e.call) }
+func (e callerLeft) apply(c *Coordinator, now time.Time) { c.dropCall(now, e.call) }
 
-// drainBegun begins a planned stop.
-type drainBegun struct{}
+// drainStarted starts a planned stop.
+type drainStarted struct{}
 
-func (drainBegun) apply(c *Coordinator, now time.Time) {
-	c.drainedAt = now
-	c.joinSoon()
+func (drainStarted) apply(c *Coordinator, now time.Time) {
+	c.drainStartedAt = now
+	c.requestJoin()
 }
 
-// leaveWanted asks whether the group of owners may be left now.
-type leaveWanted struct{ answer chan<- bool }
+// leaveRequested asks the control goroutine to release all partitions, so that the group of owners
+// can be left. The answer is false if it has to be asked again later.
+type leaveRequested struct{ answer chan<- bool }
 
-func (e leaveWanted) apply(c *Coordinator, now time.Time) { e.answer <- c.mayLeave(now) }
+func (e leaveRequested) apply(c *Coordinator, now time.Time) { e.answer <- c.tryRelease(now) }
 
-// groupLeft says that our partitions are free for others, who are told so.
+// groupLeft reports that we have left the group of owners. Other coordinators are notified, so that
+// they join at once and take over our partitions.
 type groupLeft struct{}
 
 func (groupLeft) apply(c *Coordinator, _ time.Time) {
-	c.tellCoordinators(&wire.HandOver{})
+	c.broadcast(&wire.HandOver{})
 }
