--- a/jobs/scheduler/calls.go
+++ b/jobs/scheduler/calls.go
@@ -23,12 +23,12 @@
 }
 
 func (c *Core) fail(call Call, id durable.JobID, kind failure.Kind) {
-	c.failUntil(call, id, kind, 0)
+	c.failRetryAfter(call, id, kind, 0)
 }
 
-// failUntil fails a call that may do better after the time given, as far as that is known.
+// failRetryAfter fails a call that may do better after the time given, as far as that is known.
 // It is told to come back then, and not before Settings.RetryAfter.
-func (c *Core) failUntil(call Call, id durable.JobID, kind failure.Kind, better time.Duration) {
+func (c *Core) failRetryAfter(call Call, id durable.JobID, kind failure.Kind, better time.Duration) {
 	c.reply(Reply{Call: call, ID: id, Failure: kind, RetryAfter: max(c.cfg.RetryAfter, better)})
 	c.note(Note{What: CallFailed, Job: id, Reason: kind.String()})
 }
@@ -44,8 +44,8 @@
 	}
 }
 
-// owned returns the partition that keeps the job, if it can take calls now.
-func (c *Core) owned(id durable.JobID) *partition {
+// activePartition returns the partition that keeps the job, if it can take calls now.
+func (c *Core) activePartition(id durable.JobID) *partition {
 	p := c.partitions[id.Partition(c.cfg.Partitions)]
 	if p == nil || p.suspended {
 		return nil
@@ -54,7 +54,7 @@
 }
 
 // Owns returns whether calls about the job can be answered here.
-func (c *Core) Owns(id durable.JobID) bool { return c.owned(id) != nil }
+func (c *Core) Owns(id durable.JobID) bool { return c.activePartition(id) != nil }
 
 // find returns the job, whoever keeps it.
 func (c *Core) find(id durable.JobID) *job {
@@ -67,18 +67,18 @@
 	return nil
 }
 
-// jobOf returns the kept job that a call is about, with its partition. Without
+// lookUp returns the kept job that a call is about, with its partition. Without
 // one the call has been answered, or will be once Confirmed, and j is nil; again is
 // what answers it if the job turns up.
-func (c *Core) jobOf(now time.Time, call Call, id durable.JobID, again func(time.Time, Call, durable.JobID)) (p *partition, j *job) {
-	p = c.owned(id)
+func (c *Core) lookUp(now time.Time, call Call, id durable.JobID, again func(time.Time, Call, durable.JobID)) (p *partition, j *job) {
+	p = c.activePartition(id)
 	if p == nil {
 		c.fail(call, id, failure.NoOwner)
 		return nil, nil
 	}
 	j = p.jobs[id]
 	if j == nil {
-		c.ask(now, call, id, again)
+		c.deferLookup(now, call, id, again)
 	}
 	return p, j
 }
@@ -91,13 +91,13 @@
 		c.submitBestEffort(now, call, s, budget)
 		return
 	}
-	p := c.owned(s.ID)
+	p := c.activePartition(s.ID)
 	if p == nil {
 		c.fail(call, s.ID, failure.NoOwner)
 		return
 	}
 	if j := p.jobs[s.ID]; j != nil {
-		c.submitAgain(now, call, j, s)
+		c.resubmit(now, call, j, s)
 		return
 	}
 	if c.full() {
@@ -110,17 +110,17 @@
 	c.callers[call] = waitingCall{s.ID, now}
 	p.jobs[s.ID] = j
 	p.submitted = append(p.submitted, j)
-	p.wantBy(now)
+	p.requestCommit(now)
 	c.active++
 }
 
-// submitAgain answers a resent submission by what became of the first copy.
-func (c *Core) submitAgain(now time.Time, call Call, j *job, s *durable.Submission) {
+// resubmit answers a resent submission by what became of the first copy.
+func (c *Core) resubmit(now time.Time, call Call, j *job, s *durable.Submission) {
 	switch {
 	case j.sub != nil && !j.sub.SameContent(s):
 		c.fail(call, s.ID, failure.SubmissionMismatch)
 	case j.accepted:
-		c.reply(Reply{Call: call, ID: s.ID, State: j.shown()})
+		c.reply(Reply{Call: call, ID: s.ID, State: j.visibleState()})
 	default:
 		j.calls = append(j.calls, call)
 		c.callers[call] = waitingCall{s.ID, now}
@@ -132,7 +132,7 @@
 // its end, within the time that the caller gives.
 func (c *Core) State(now time.Time, call Call, id durable.JobID, budget time.Duration) {
 	again := func(now time.Time, call Call, id durable.JobID) { c.State(now, call, id, 0) }
-	_, j := c.jobOf(now, call, id, again)
+	_, j := c.lookUp(now, call, id, again)
 	switch {
 	case j == nil:
 	case j.stored.Final():
@@ -144,7 +144,7 @@
 
 // Cancel cancels a kept job. The reply comes once the store has it.
 func (c *Core) Cancel(now time.Time, call Call, id durable.JobID) {
-	p, j := c.jobOf(now, call, id, c.Cancel)
+	p, j := c.lookUp(now, call, id, c.Cancel)
 	switch {
 	case j == nil:
 	case j.stored.Final():
@@ -155,7 +155,7 @@
 		}
 		j.cancels = append(j.cancels, call)
 		c.callers[call] = waitingCall{id, now}
-		p.change(now, j)
+		p.markChanged(now, j)
 	}
 }
 
--- a/jobs/scheduler/commits.go
+++ b/jobs/scheduler/commits.go
@@ -24,13 +24,13 @@
 	cancels []Call
 }
 
-// cutCommits makes commits of what waits.
-func (c *Core) cutCommits(now time.Time) {
+// startCommits makes commits of what waits.
+func (c *Core) startCommits(now time.Time) {
 	for _, p := range ordered.Values(c.partitions) {
-		if p.inflight != nil || p.suspended || p.urgentBy.IsZero() || now.Before(p.urgentBy) || now.Before(p.notBefore) {
+		if p.inflight != nil || p.suspended || p.commitBy.IsZero() || now.Before(p.commitBy) || now.Before(p.notBefore) {
 			continue
 		}
-		c.cutCommit(now, p)
+		c.startCommit(now, p)
 	}
 }
 
@@ -41,8 +41,8 @@
 	size   int // bytes of keys and values
 }
 
-// add puts a record into the draft.
-func (c *Core) add(d *draft, r durable.Record, err error) {
+// addRecord puts a record into the draft.
+func (c *Core) addRecord(d *draft, r durable.Record, err error) {
 	if err != nil {
 		c.note(Note{What: RecordInvalid, Reason: err.Error()})
 		return
@@ -51,14 +51,14 @@
 	d.size += len(r.Key) + len(r.Value)
 }
 
-// cutCommit makes a commit of what waits in the partition, up to MaxBatch.
-func (c *Core) cutCommit(now time.Time, p *partition) {
+// startCommit makes a commit of what waits in the partition, up to MaxBatch.
+func (c *Core) startCommit(now time.Time, p *partition) {
 	d := &draft{commit: Commit{Partition: p.number, Epoch: p.epoch}, batch: &batch{}}
 	c.addSubmissions(p, d)
 	c.addProgress(p, d)
-	p.urgentBy = time.Time{}
+	p.commitBy = time.Time{}
 	if len(p.submitted) > 0 || len(p.changed) > 0 {
-		p.urgentBy = now
+		p.commitBy = now
 	}
 	if len(d.commit.Records) == 0 {
 		return
@@ -74,7 +74,7 @@
 		j := p.submitted[0]
 		p.submitted = p.submitted[1:]
 		r, err := durable.SubmissionRecord(j.sub)
-		c.add(d, r, err)
+		c.addRecord(d, r, err)
 		d.batch.submitted = append(d.batch.submitted, j)
 	}
 }
@@ -88,9 +88,9 @@
 			continue
 		}
 		r, err := durable.ProgressRecord(j.id, j.progress())
-		c.add(d, r, err)
+		c.addRecord(d, r, err)
 		if j.state.Final() {
-			c.add(d, durable.ForgetSubmission(j.id), nil)
+			c.addRecord(d, durable.ForgetSubmission(j.id), nil)
 		}
 		d.batch.changed = append(d.batch.changed, changedJob{j, j.state, j.acks, j.cancels})
 		j.acks, j.cancels = nil, nil
@@ -99,8 +99,8 @@
 
 // Bounds of forgetting final states.
 const (
-	sweepEvery   = 5 * time.Second // between two looks at a partition's jobs
-	maxForgotten = 500             // records of one look
+	sweepInterval = 5 * time.Second // between two looks at a partition's jobs
+	maxForgotten  = 500             // records of one look
 )
 
 // forgetFinal adds the removal of final states that have been kept long
@@ -109,7 +109,7 @@
 	if now.Before(p.sweepAt) {
 		return
 	}
-	p.sweepAt = now.Add(sweepEvery)
+	p.sweepAt = now.Add(sweepInterval)
 	for _, id := range ordered.Keys(p.jobs) {
 		j := p.jobs[id]
 		if len(d.batch.forgotten) >= maxForgotten {
@@ -132,16 +132,16 @@
 	p.inflight = nil
 	switch result {
 	case CommitOK:
-		c.committed(now, p, b)
+		c.commitSucceeded(now, p, b)
 	case CommitRefused:
-		c.refused(now, p, b)
+		c.commitRefused(now, p, b)
 	default:
 		c.effects.Fenced = true
 		c.Release(now, number, "fenced")
 	}
 }
 
-func (c *Core) committed(now time.Time, p *partition, b *batch) {
+func (c *Core) commitSucceeded(now time.Time, p *partition, b *batch) {
 	for _, j := range b.submitted {
 		j.accepted = true
 		for _, call := range j.calls {
@@ -156,14 +156,14 @@
 		}
 	}
 	for i := range b.changed {
-		c.progressKept(now, &b.changed[i])
+		c.progressStored(now, &b.changed[i])
 	}
 	for _, id := range b.forgotten {
 		delete(p.jobs, id)
 	}
 }
 
-func (c *Core) progressKept(now time.Time, ch *changedJob) {
+func (c *Core) progressStored(now time.Time, ch *changedJob) {
 	ch.job.stored = ch.state
 	if ch.state.Final() {
 		ch.job.final = now
@@ -174,11 +174,11 @@
 	for _, call := range ch.cancels {
 		c.reply(Reply{Call: call, ID: ch.job.id, State: ch.state})
 	}
-	c.sendKept(ch.acks)
+	c.sendAcks(ch.acks)
 }
 
-// sendKept tells workers which ends they may forget.
-func (c *Core) sendKept(acks []ack) {
+// sendAcks tells workers which ends they may forget.
+func (c *Core) sendAcks(acks []ack) {
 	byWorker := make(map[string][]wire.RunRef)
 	for _, a := range acks {
 		byWorker[a.worker] = append(byWorker[a.worker], a.ref)
@@ -191,9 +191,9 @@
 	}
 }
 
-// refused puts back what the store would not take. Jobs that were not
-// accepted yet are refused for good.
-func (c *Core) refused(now time.Time, p *partition, b *batch) {
+// commitRefused puts back what the store would not take. Jobs that were not
+// accepted yet are commitRefused for good.
+func (c *Core) commitRefused(now time.Time, p *partition, b *batch) {
 	for _, j := range b.submitted {
 		delete(p.jobs, j.id)
 		for _, call := range append(j.calls, j.cancels...) {
@@ -211,7 +211,7 @@
 		}
 		j.acks = append(ch.acks, j.acks...)
 		j.cancels = append(ch.cancels, j.cancels...)
-		p.change(now, j)
+		p.markChanged(now, j)
 	}
 	p.notBefore = now.Add(c.cfg.CommitRetry)
 }
--- a/jobs/scheduler/crashes.go
+++ b/jobs/scheduler/crashes.go
@@ -14,9 +14,9 @@
 // nearly all calls were refused for two. The users' platform lets a job be given up from two
 // crashes on, and a task be started twice more after the third.
 const (
-	crashesAlone    = 2 // under runs of a best-effort job's task that were at work, the last one with no other suspect there
-	crashesBegun    = 3 // under runs that were at work, whoever was with them
-	crashesPossible = 4 // also under runs of which no answer told whether they had begun
+	crashLimitAlone = 2 // under runs of a best-effort job's task that were at work, the last one with no other suspect there
+	crashLimitBegun = 3 // under runs that were at work, whoever was with them
+	crashLimitTotal = 4 // also under runs of which no answer told whether they had begun
 )
 
 const reasonCrashes = "servers_crashed" // of a job that was given up
@@ -48,7 +48,7 @@
 // not be given up for it.
 func (c crashes) tooMany(alone bool) bool {
 	begun := c.begun()
-	return alone && begun >= crashesAlone || begun >= crashesBegun || len(c) >= crashesPossible
+	return alone && begun >= crashLimitAlone || begun >= crashLimitBegun || len(c) >= crashLimitTotal
 }
 
 // runCrashed takes the end of a run that was lost with its backend server. It returns
--- a/jobs/scheduler/demand.go
+++ b/jobs/scheduler/demand.go
@@ -4,21 +4,21 @@
 
 // demand is what the tasks of one service here have asked of workers.
 type demand struct {
-	inUse   int64     // what is ordered now, thousandths of a core
-	peak    int64     // the most that was, in this span
-	before  int64     // the same, in the span before
-	spanAt  time.Time // when this span began
-	shortAt time.Time // when a task last fitted at no worker
-	began   time.Time // when that began: none had not fitted for demandSpan before
+	inUse         int64     // what is ordered now, thousandths of a core
+	peak          int64     // the most that was, in this span
+	previousPeak  int64     // the same, in the span before
+	spanStart     time.Time // when this span began
+	shortageAt    time.Time // when a task last fitted at no worker
+	shortageStart time.Time // when that began: none had not fitted for demandSpan before
 }
 
 // demandSpan is for how long demand is remembered, and up to twice as long. Longer than bursts
 // are apart, so that connections do not come and go with each.
 const demandSpan = 10 * time.Second
 
-// spread is how many times the workers that our tasks fill we want to choose from. The others'
+// choiceFactor is how many times the workers that our tasks fill we want to choose from. The others'
 // tasks fill most of each.
-const spread = 4
+const choiceFactor = 4
 
 func (c *Core) demandOf(service string) *demand {
 	d := c.demands[service]
@@ -37,19 +37,19 @@
 
 // recordShortage notes that a task fits at no worker now.
 func (d *demand) recordShortage(now time.Time) {
-	if now.Sub(d.shortAt) >= demandSpan {
-		d.began = now
+	if now.Sub(d.shortageAt) >= demandSpan {
+		d.shortageStart = now
 	}
-	d.shortAt = now
+	d.shortageAt = now
 }
 
 // rotate begins a new span when the present one is over.
 func (d *demand) rotate(now time.Time) {
-	if now.Sub(d.spanAt) < demandSpan {
+	if now.Sub(d.spanStart) < demandSpan {
 		return
 	}
-	d.before, d.peak = d.peak, d.inUse
-	d.spanAt = now
+	d.previousPeak, d.peak = d.peak, d.inUse
+	d.spanStart = now
 }
 
 // WorkersWanted returns how many workers of the service we want to choose from, and
@@ -58,7 +58,7 @@
 func (c *Core) WorkersWanted(now time.Time, service string) (n int, all bool) {
 	d := c.demandOf(service)
 	d.rotate(now)
-	if now.Sub(d.shortAt) < demandSpan {
+	if now.Sub(d.shortageAt) < demandSpan {
 		return 0, true
 	}
 	capacity, workers := int64(0), int64(0)
@@ -71,14 +71,14 @@
 	if capacity == 0 {
 		return 0, true
 	}
-	asked := spread * max(d.peak, d.before) * workers
+	asked := choiceFactor * max(d.peak, d.previousPeak) * workers
 	return int((asked + capacity - 1) / capacity), false
 }
 
 // ShortageSince returns whether tasks have begun to fit at no worker since then.
 func (c *Core) ShortageSince(since time.Time) bool {
 	for _, d := range c.demands {
-		if d.began.After(since) {
+		if d.shortageStart.After(since) {
 			return true
 		}
 	}
--- a/jobs/scheduler/ends.go
+++ b/jobs/scheduler/ends.go
@@ -14,40 +14,40 @@
 		return
 	}
 	for i := range m.Ends {
-		c.end(now, w, &m.Ends[i])
+		c.handleEnd(now, w, &m.Ends[i])
 	}
 }
 
-func (c *Core) end(now time.Time, w *worker, e *wire.RunEnd) {
+func (c *Core) handleEnd(now time.Time, w *worker, e *wire.RunEnd) {
 	j := c.find(e.Ref.Task.Job)
 	if j == nil || j.state.Final() {
-		c.endOfFinal(now, w, j, e)
+		c.handleEndOfClosedJob(now, w, j, e)
 		return
 	}
 	t := j.find(e.Ref.Task)
 	if t == nil {
-		c.sendKept([]ack{{w.name, e.Ref}})
+		c.sendAcks([]ack{{w.name, e.Ref}})
 		return
 	}
 	if t.state == taskDone {
-		c.ackWithProgress(now, w, t, e) // told again: the store may not have it yet
+		c.ackWithProgress(now, w, t, e) // reported again: the store may not have it yet
 		return
 	}
 	if t.state == taskAssigned && (t.worker != w || t.run != e.Ref.Run) {
-		c.earlierEnd(now, w, t, e)
+		c.handleEarlierEnd(now, w, t, e)
 		return
 	}
 	c.unqueue(t)
 	c.setBegun(now, j, j.assigned, j.ran || wire.End(e.How) != wire.EndNotRun)
 	c.unassign(now, t)
 	t.run = max(t.run, e.Ref.Run)
-	c.apply(now, w, t, e)
+	c.applyEnd(now, w, t, e)
 }
 
-// earlierEnd takes the end of a run before the present one. One that failed or crashed its
+// handleEarlierEnd takes the end of a run before the present one. One that failed or crashed its
 // server counts, if an earlier owner heard of it and did not keep it; any other was
 // told too late to matter: the worker has let its lease lapse since.
-func (c *Core) earlierEnd(now time.Time, w *worker, t *task, e *wire.RunEnd) {
+func (c *Core) handleEarlierEnd(now time.Time, w *worker, t *task, e *wire.RunEnd) {
 	how := wire.End(e.How)
 	if how == wire.EndCrashed {
 		c.ackWithProgress(now, w, t, e)
@@ -55,7 +55,7 @@
 		return
 	}
 	if how != wire.EndFailed || t.job.sub.BestEffort {
-		c.sendKept([]ack{{w.name, e.Ref}})
+		c.sendAcks([]ack{{w.name, e.Ref}})
 		return
 	}
 	c.ackWithProgress(now, w, t, e)
@@ -70,29 +70,29 @@
 		return
 	}
 	t.job.acks = append(t.job.acks, ack{w.name, e.Ref})
-	c.change(now.Add(c.cfg.LazyCommit), t.job)
+	c.markChanged(now.Add(c.cfg.LazyCommit), t.job)
 }
 
-// endOfFinal acknowledges an end that no longer matters; not before the final
+// handleEndOfClosedJob acknowledges an end that no longer matters; not before the final
 // state is in the store.
-func (c *Core) endOfFinal(now time.Time, w *worker, j *job, e *wire.RunEnd) {
-	c.runOver(e.Ref)
-	c.crashOfGone(now, e)
+func (c *Core) handleEndOfClosedJob(now time.Time, w *worker, j *job, e *wire.RunEnd) {
+	c.outstandingRunEnded(e.Ref)
+	c.reportCrashOfClosedJob(now, e)
 	p := c.partitions[e.Ref.Task.Job.Partition(c.cfg.Partitions)]
 	if p == nil {
 		return
 	}
 	if j == nil || j.stored.Final() {
-		c.sendKept([]ack{{w.name, e.Ref}})
+		c.sendAcks([]ack{{w.name, e.Ref}})
 		return
 	}
 	j.acks = append(j.acks, ack{w.name, e.Ref})
-	p.change(now, j)
+	p.markChanged(now, j)
 }
 
 func (c *Core) taskDone(now time.Time, t *task) {
 	j := t.job
-	j.done(t)
+	j.markDone(t)
 	if j.left == 0 {
 		c.finish(now, j, durable.Completed, "all_done")
 		return
@@ -108,7 +108,7 @@
 	c.active--
 	c.note(Note{What: Decision(jobPrefix + state.String()), Job: j.id, Reason: reason, Measure: JobAgeMS, Value: j.age(now), Frequent: state == durable.Completed})
 	if j.sub.BestEffort {
-		c.awaitEnds(now, j)
+		c.trackOutstanding(now, j)
 	}
 	for i := range j.tasks {
 		t := &j.tasks[i]
@@ -122,12 +122,12 @@
 		c.answerBestEffort(now, j)
 		return
 	}
-	c.change(now, j)
+	c.markChanged(now, j)
 }
 
-// change notes that a kept job's progress is to be written.
-func (c *Core) change(by time.Time, j *job) {
+// markChanged notes that a kept job's progress is to be written.
+func (c *Core) markChanged(by time.Time, j *job) {
 	if p := c.partitions[j.id.Partition(c.cfg.Partitions)]; p != nil {
-		p.change(by, j)
+		p.markChanged(by, j)
 	}
 }
--- a/jobs/scheduler/evacuations.go
+++ b/jobs/scheduler/evacuations.go
@@ -23,11 +23,11 @@
 	if before.Same(e) {
 		return false
 	}
-	for _, w := range c.order {
+	for _, w := range c.allWorkers {
 		c.updateEligible(w)
 	}
 	c.noteEvacuations(now, before)
-	c.tellEvacuations(now)
+	c.announceEvacuations(now)
 	if c.allEvacuated() {
 		c.refuseAll(now)
 	}
@@ -56,7 +56,7 @@
 // workersIn returns how many connected workers there are in the data centre.
 func (c *Core) workersIn(dataCentre string) int64 {
 	n := int64(0)
-	for _, w := range c.order {
+	for _, w := range c.allWorkers {
 		if w.up && w.dataCentre == dataCentre {
 			n++
 		}
@@ -64,10 +64,10 @@
 	return n
 }
 
-// tellEvacuations tells all workers at once. The heartbeat brings it anyway, later by its
+// announceEvacuations tells all workers at once. The heartbeat brings it anyway, later by its
 // period, and with it the last word about orders that are on their way is the worker's.
-func (c *Core) tellEvacuations(now time.Time) {
-	for _, w := range c.order {
+func (c *Core) announceEvacuations(now time.Time) {
+	for _, w := range c.allWorkers {
 		c.heartbeat(now, w)
 	}
 }
@@ -91,7 +91,7 @@
 // centre.
 func (c *Core) allEvacuated() bool {
 	reached := false
-	for _, w := range c.order {
+	for _, w := range c.allWorkers {
 		if w.up && !c.Evacuated(w.dataCentre) {
 			return false
 		}
--- a/jobs/scheduler/job.go
+++ b/jobs/scheduler/job.go
@@ -61,20 +61,20 @@
 			})
 		}
 	}
-	j.schedule(now)
+	j.setDueTimes(now)
 	return j
 }
 
-// uselessX is how many times its objective a job may take before its answer is
+// uselessFactor is how many times its objective a job may take before its answer is
 // of no use: the users count an answer as late up to then, and as nothing after.
-const uselessX = 3
+const uselessFactor = 3
 
-// underestimateX is how many times longer than estimated work may well take: a job that has
+// underestimateFactor is how many times longer than estimated work may well take: a job that has
 // begun is not abandoned before.
-const underestimateX = 2
+const underestimateFactor = 2
 
-// schedule works out by when each task should begin.
-func (j *job) schedule(now time.Time) {
+// setDueTimes works out by when each task should begin.
+func (j *job) setDueTimes(now time.Time) {
 	chains := chainsAfter(j.sub.Steps)
 	longest := time.Duration(0)
 	for _, d := range chains {
@@ -83,8 +83,8 @@
 	j.criticalPath = longest
 	objective := time.Duration(j.sub.Queue.Stretch*float64(longest)) + time.Duration(j.sub.Queue.TargetMS)*time.Millisecond
 	j.due = now.Add(objective)
-	j.uselessAt = now.Add(uselessX * objective)
-	j.abandonAt = now.Add(underestimateX * uselessX * objective)
+	j.uselessAt = now.Add(uselessFactor * objective)
+	j.abandonAt = now.Add(underestimateFactor * uselessFactor * objective)
 	for i := range j.tasks {
 		t := &j.tasks[i]
 		t.due = j.due.Add(-chains[t.id.Step])
@@ -107,9 +107,9 @@
 // age returns how long ago the job came, in milliseconds.
 func (j *job) age(now time.Time) int64 { return now.Sub(j.received).Milliseconds() }
 
-// shown returns the state that callers may see: a final one only when the
+// visibleState returns the state that callers may see: a final one only when the
 // store has it.
-func (j *job) shown() durable.State {
+func (j *job) visibleState() durable.State {
 	switch {
 	case j.stored.Final():
 		return j.stored
@@ -150,7 +150,7 @@
 	}
 	for i := range j.tasks {
 		if p.Done.Has(i) {
-			j.done(&j.tasks[i])
+			j.markDone(&j.tasks[i])
 		}
 	}
 	for _, f := range p.Failures {
@@ -165,8 +165,8 @@
 	}
 }
 
-// done marks a task as done; it may be called once for each.
-func (j *job) done(t *task) {
+// markDone marks a task as markDone; it may be called once for each.
+func (j *job) markDone(t *task) {
 	t.state = taskDone
 	t.worker = nil
 	j.ran = true
--- a/jobs/scheduler/outstanding.go
+++ b/jobs/scheduler/outstanding.go
@@ -8,16 +8,16 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// ending is a best-effort job that is over here, and whose runs may not be.
-type ending struct {
+// outstandingRuns is a best-effort job that is over here, and whose runs may not be.
+type outstandingRuns struct {
 	sent  time.Time // as the job's
 	until time.Time // when the runs are dead for certain, whatever their workers say
 	runs  map[wire.RunRef]struct{}
 }
 
-// awaitEnds notes the runs of a best-effort job that was ended while they were with workers.
-func (c *Core) awaitEnds(now time.Time, j *job) {
-	e := &ending{sent: j.sent, until: now.Add(c.cfg.BestEffortWriteOff), runs: make(map[wire.RunRef]struct{})}
+// trackOutstanding notes the runs of a best-effort job that was ended while they were with workers.
+func (c *Core) trackOutstanding(now time.Time, j *job) {
+	e := &outstandingRuns{sent: j.sent, until: now.Add(c.cfg.BestEffortWriteOff), runs: make(map[wire.RunRef]struct{})}
 	for i := range j.tasks {
 		if t := &j.tasks[i]; t.state == taskAssigned {
 			e.runs[t.ref()] = struct{}{}
@@ -28,8 +28,8 @@
 	}
 }
 
-// runOver notes the end of a run of a job that is over.
-func (c *Core) runOver(ref wire.RunRef) {
+// outstandingRunEnded notes the end of a run of a job that is over.
+func (c *Core) outstandingRunEnded(ref wire.RunRef) {
 	e := c.outstanding[ref.Task.Job]
 	if e == nil {
 		return
@@ -40,8 +40,8 @@
 	}
 }
 
-// forgetEndings drops the jobs whose runs are dead for certain.
-func (c *Core) forgetEndings(now time.Time) {
+// expireOutstanding drops the jobs whose runs are dead for certain.
+func (c *Core) expireOutstanding(now time.Time) {
 	for _, id := range ordered.Keys(c.outstanding) {
 		if !now.Before(c.outstanding[id].until) {
 			delete(c.outstanding, id)
--- a/jobs/scheduler/reports.go
+++ b/jobs/scheduler/reports.go
@@ -10,7 +10,7 @@
 // partition.
 func (c *Core) AwaitingReports() bool {
 	for _, p := range c.partitions {
-		if len(p.asked) > 0 {
+		if len(p.awaiting) > 0 {
 			return true
 		}
 	}
@@ -22,7 +22,7 @@
 func (c *Core) Runs(now time.Time, name string, m *wire.PartitionRuns) {
 	w := c.workers[name]
 	if w != nil && m.Partition == wire.BestEffortRuns {
-		c.queryAnswered(now, w, m)
+		c.handleQueryReply(now, w, m)
 		return
 	}
 	p := c.partitions[m.Partition]
@@ -32,30 +32,30 @@
 	known := make(map[wire.RunRef]bool, len(m.Running))
 	for _, ref := range m.Running {
 		known[ref] = true
-		c.found(now, w, p, ref)
+		c.reconcileRun(now, w, p, ref)
 	}
-	c.tellNeeds(w, m.Running)
+	c.sendNeeds(w, m.Running)
 	for _, e := range m.Ended {
 		known[e.Ref] = true
-		c.end(now, w, &e)
+		c.handleEnd(now, w, &e)
 	}
 	for _, t := range w.tasks() {
 		if t.startSeq > m.StartSeq {
 			continue // ordered after the worker wrote this
 		}
 		if !t.job.sub.BestEffort && t.id.Job.Partition(c.cfg.Partitions) == m.Partition && !known[t.ref()] {
-			c.lost(now, t, RunAbsent)
+			c.requeueLost(now, t, RunAbsent)
 		}
 	}
-	delete(p.asked, name)
-	if len(p.asked) == 0 {
-		c.settle(now, p)
+	delete(p.awaiting, name)
+	if len(p.awaiting) == 0 {
+		c.endReconciliation(now, p)
 	}
 }
 
-// found takes a run that a worker has: that of an earlier owner is taken over,
+// reconcileRun takes a run that a worker has: that of an earlier owner is taken over,
 // one that is not wanted is stopped.
-func (c *Core) found(now time.Time, w *worker, p *partition, ref wire.RunRef) {
+func (c *Core) reconcileRun(now time.Time, w *worker, p *partition, ref wire.RunRef) {
 	j := p.jobs[ref.Task.Job]
 	if j == nil || j.state.Final() {
 		c.send(w.name, &wire.StopRuns{Runs: []wire.RunRef{ref}})
@@ -76,10 +76,10 @@
 	}
 }
 
-// tellNeeds tells a worker what those of the listed runs take that are ours: the
+// sendNeeds tells a worker what those of the listed runs take that are ours: the
 // worker may have found them when its process started, and orders out nothing until
 // it knows.
-func (c *Core) tellNeeds(w *worker, listed []wire.RunRef) {
+func (c *Core) sendNeeds(w *worker, listed []wire.RunRef) {
 	m := &wire.RunNeeds{}
 	for _, ref := range listed {
 		if t := c.runningTask(w, ref); t != nil {
@@ -119,11 +119,11 @@
 	c.send(w.name, m)
 }
 
-// queryAnswered takes the worker's answer: what it does not know never runs. What it has
+// handleQueryReply takes the worker's answer: what it does not know never runs. What it has
 // and is no longer wanted is stopped: a stop that was sent before the worker had found the
 // run, which an earlier process there had started, did nothing, and from now on our lease
 // keeps the run.
-func (c *Core) queryAnswered(now time.Time, w *worker, m *wire.PartitionRuns) {
+func (c *Core) handleQueryReply(now time.Time, w *worker, m *wire.PartitionRuns) {
 	known := make(map[wire.RunRef]bool, len(m.Running)+len(m.Ended))
 	for _, ref := range m.Running {
 		known[ref] = true
@@ -131,23 +131,23 @@
 			c.send(w.name, &wire.StopRuns{Runs: []wire.RunRef{ref}})
 		}
 	}
-	c.tellNeeds(w, m.Running)
+	c.sendNeeds(w, m.Running)
 	for i := range m.Ended {
 		known[m.Ended[i].Ref] = true
-		c.end(now, w, &m.Ended[i])
+		c.handleEnd(now, w, &m.Ended[i])
 	}
 	queried := w.queried
 	w.queried = nil
 	for _, q := range queried {
 		if q.task.worker == w && q.task.ref() == q.ref && !known[q.ref] {
-			c.lost(now, q.task, RunAbsent)
+			c.requeueLost(now, q.task, RunAbsent)
 		}
 	}
 }
 
-// lost frees a task whose run has certainly ended, or never began, without a word
+// requeueLost frees a task whose run has certainly ended, or never began, without a word
 // of how: it is ordered again.
-func (c *Core) lost(now time.Time, t *task, what Decision) {
+func (c *Core) requeueLost(now time.Time, t *task, what Decision) {
 	c.note(Note{What: what, Task: t.id.String(), Run: t.run, Worker: t.worker.name})
 	c.setBegun(now, t.job, t.job.assigned, true)
 	c.unassign(now, t)
@@ -163,7 +163,7 @@
 			after = c.cfg.BestEffortWriteOff
 		}
 		if silent > after {
-			c.lost(now, t, RunWrittenOff)
+			c.requeueLost(now, t, RunWrittenOff)
 		}
 	}
 }
--- a/jobs/scheduler/retries.go
+++ b/jobs/scheduler/retries.go
@@ -8,9 +8,9 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// apply decides what an end means for its task: it is done, it is ordered again,
+// applyEnd decides what an end means for its task: it is done, it is ordered again,
 // or the job has failed.
-func (c *Core) apply(now time.Time, w *worker, t *task, e *wire.RunEnd) {
+func (c *Core) applyEnd(now time.Time, w *worker, t *task, e *wire.RunEnd) {
 	how := wire.End(e.How)
 	t.handedBack = how == wire.EndNotRun
 	c.noteEnd(w, t, e, how)
@@ -39,7 +39,7 @@
 	default: // stopped, or gone with a server that had said so: no fault of the task
 		c.enqueue(now, t)
 	}
-	c.keepEnd(now, w, t.job, e, how)
+	c.ackWhenStored(now, w, t.job, e, how)
 }
 
 func (c *Core) noteEnd(w *worker, t *task, e *wire.RunEnd, how wire.End) {
@@ -66,9 +66,9 @@
 	c.enqueue(now, t)
 }
 
-// keepEnd sees that the end of a kept job's run is acknowledged to its worker once
+// ackWhenStored sees that the end of a kept job's run is acknowledged to its worker once
 // the job's progress is in the store: at once if that ends the job.
-func (c *Core) keepEnd(now time.Time, w *worker, j *job, e *wire.RunEnd, how wire.End) {
+func (c *Core) ackWhenStored(now time.Time, w *worker, j *job, e *wire.RunEnd, how wire.End) {
 	if j.sub.BestEffort || how == wire.EndNotRun || how == wire.EndLost {
 		return // there is nothing to keep, or the backend server does not list it
 	}
@@ -77,5 +77,5 @@
 	if j.state.Final() {
 		by = now
 	}
-	c.change(by, j)
+	c.markChanged(by, j)
 }
--- a/jobs/scheduler/scheduler.go
+++ b/jobs/scheduler/scheduler.go
@@ -53,27 +53,27 @@
 	random *rand.Rand
 
 	// Jobs.
-	partitions  map[uint32]*partition
-	bestEffort  map[durable.JobID]*job // jobs that are not kept
-	crashed     map[durable.JobID]*crashMemory
-	active      int                       // jobs that are not final
-	callers     map[Call]waitingCall      // who wait for the store
-	outstanding map[durable.JobID]*ending // best-effort jobs that are over, and their runs may not be
-	watched     map[*job]struct{}         // jobs whose end is waited for by callers
-	questions   []question                // about jobs that are not here
+	partitions     map[uint32]*partition
+	bestEffort     map[durable.JobID]*job // jobs that are not kept
+	crashHistories map[durable.JobID]*crashHistory
+	active         int                                // jobs that are not final
+	callers        map[Call]waitingCall               // who wait for the store
+	outstanding    map[durable.JobID]*outstandingRuns // best-effort jobs that are over, and their runs may not be
+	watched        map[*job]struct{}                  // jobs whose end is waited for by callers
+	pendingLookups []pendingLookup                    // about jobs that are not here
 	// confirmedAt is when the newest join was sent that the store has answered.
 	confirmedAt time.Time
 	ready       map[string]*readyQueue // tasks that want a worker, by service
 	suspended   map[*task]struct{}     // tasks that wait for news of silent servers
 
 	// Workers.
-	workers  map[string]*worker
-	order    []*worker          // all that are known, by name
-	eligible []*worker          // those that new tasks may go to (updateEligible), by name
-	sharers  map[string]float64 // coordinators that share each worker of a service, with this one
-	demands  map[string]*demand // by service
-	asks     map[string]*asks   // for room, by service
-	servedAt time.Time          // when there was last a worker that took tasks
+	workers    map[string]*worker
+	allWorkers []*worker          // all that are known, by name
+	eligible   []*worker          // those that new tasks may go to (updateEligible), by name
+	sharers    map[string]float64 // coordinators that share each worker of a service, with this one
+	demands    map[string]*demand // by service
+	asks       map[string]*asks   // for room, by service
+	servedAt   time.Time          // when there was last a worker that took tasks
 
 	evacuations   routing.Evacuations  // where nothing may be started
 	evacuationsAt time.Time            // when the store last told of them; zero before it has
@@ -81,9 +81,9 @@
 	refusals      map[string]*refusals // of late, by queue
 
 	// Who is served when not all fit.
-	flows   map[string][]*flow   // what came of late to the queues of each service, by name
-	judged  map[string]judgement // of the queue of each service
-	returns [lastClass + 1]int   // calls that were told when to come back, by class
+	flows        map[string][]*flow   // what came of late to the queues of each service, by name
+	judged       map[string]judgement // of the queue of each service
+	refusedCalls [lastClass + 1]int   // calls that were told when to come back, by class
 
 	effects Effects
 }
@@ -91,24 +91,24 @@
 // New returns a core without partitions or workers.
 func New(cfg Settings, seed uint64) *Core {
 	return &Core{
-		cfg:         cfg,
-		random:      rand.New(rand.NewPCG(seed, 1)),
-		partitions:  make(map[uint32]*partition),
-		bestEffort:  make(map[durable.JobID]*job),
-		crashed:     make(map[durable.JobID]*crashMemory),
-		suspended:   make(map[*task]struct{}),
-		outstanding: make(map[durable.JobID]*ending),
-		workers:     make(map[string]*worker),
-		ready:       make(map[string]*readyQueue),
-		callers:     make(map[Call]waitingCall),
-		watched:     make(map[*job]struct{}),
-		sharers:     make(map[string]float64),
-		demands:     make(map[string]*demand),
-		asks:        make(map[string]*asks),
-		evacuatedAt: make(map[string]time.Time),
-		refusals:    make(map[string]*refusals),
-		flows:       make(map[string][]*flow),
-		judged:      make(map[string]judgement),
+		cfg:            cfg,
+		random:         rand.New(rand.NewPCG(seed, 1)),
+		partitions:     make(map[uint32]*partition),
+		bestEffort:     make(map[durable.JobID]*job),
+		crashHistories: make(map[durable.JobID]*crashHistory),
+		suspended:      make(map[*task]struct{}),
+		outstanding:    make(map[durable.JobID]*outstandingRuns),
+		workers:        make(map[string]*worker),
+		ready:          make(map[string]*readyQueue),
+		callers:        make(map[Call]waitingCall),
+		watched:        make(map[*job]struct{}),
+		sharers:        make(map[string]float64),
+		demands:        make(map[string]*demand),
+		asks:           make(map[string]*asks),
+		evacuatedAt:    make(map[string]time.Time),
+		refusals:       make(map[string]*refusals),
+		flows:          make(map[string][]*flow),
+		judged:         make(map[string]judgement),
 	}
 }
 
@@ -116,7 +116,7 @@
 // last call.
 func (c *Core) Take(now time.Time) Effects {
 	c.dispatch(now)
-	c.cutCommits(now)
+	c.startCommits(now)
 	e := c.effects
 	c.effects = Effects{}
 	return e
@@ -134,8 +134,8 @@
 	c.giveUpUseless(now, serving)
 	c.judgeQueues(now)
 	c.tickWatchers(now)
-	c.forgetCrashes(now)
-	c.forgetEndings(now)
+	c.expireCrashes(now)
+	c.expireOutstanding(now)
 	c.resumeTasks(now)
 }
 
--- a/jobs/scheduler/view.go
+++ b/jobs/scheduler/view.go
@@ -26,8 +26,8 @@
 
 // Workers returns what is believed of all known workers, by address.
 func (c *Core) Workers() []WorkerView {
-	out := make([]WorkerView, 0, len(c.order))
-	for _, w := range c.order {
+	out := make([]WorkerView, 0, len(c.allWorkers))
+	for _, w := range c.allWorkers {
 		out = append(out, WorkerView{
 			Address:    w.name,
 			DataCentre: w.dataCentre,
@@ -58,7 +58,7 @@
 	out := make([]EvacuationView, 0, len(c.evacuatedAt))
 	for _, dataCentre := range ordered.Keys(c.evacuatedAt) {
 		v := EvacuationView{DataCentre: dataCentre, Since: c.evacuatedAt[dataCentre]}
-		for _, w := range c.order {
+		for _, w := range c.allWorkers {
 			if w.dataCentre == dataCentre {
 				v.Runs += len(w.assigned)
 			}
--- a/jobs/scheduler/watchers.go
+++ b/jobs/scheduler/watchers.go
@@ -34,7 +34,7 @@
 		for _, w := range j.watchers {
 			switch {
 			case !now.Before(w.until) && !c.confirmedAt.Before(w.asked) && c.Owns(j.id):
-				c.reply(Reply{Call: w.call, ID: j.id, State: j.shown()})
+				c.reply(Reply{Call: w.call, ID: j.id, State: j.visibleState()})
 			case now.Sub(w.asked) >= c.cfg.CallLimit:
 				c.fail(w.call, j.id, failure.NoOwner)
 			default:
--- a/jobs/scheduler/workers.go
+++ b/jobs/scheduler/workers.go
@@ -60,11 +60,11 @@
 	}
 	w := &worker{name: name, assigned: make(map[*task]struct{}), speedIgnored: !c.cfg.Load.PlaceBySpeed}
 	c.workers[name] = w
-	c.order = insertByName(c.order, w)
+	c.allWorkers = insertByName(c.allWorkers, w)
 	c.updateEligible(w)
 	for _, p := range ordered.Values(c.partitions) {
-		if _, asked := p.asked[name]; !asked && len(p.asked) > 0 {
-			p.asked[name] = now.Add(c.cfg.WriteOff)
+		if _, asked := p.awaiting[name]; !asked && len(p.awaiting) > 0 {
+			p.awaiting[name] = now.Add(c.cfg.WriteOff)
 		}
 	}
 }
@@ -120,7 +120,7 @@
 	}
 	c.hearRoom(w)
 	for _, number := range m.Fenced {
-		c.fenced(now, number)
+		c.partitionFenced(now, number)
 	}
 	if first {
 		c.heartbeat(now, w)
@@ -143,7 +143,7 @@
 // tickWorkers sends heartbeats, gives up silent connections, and writes off what
 // workers had that cannot be reached.
 func (c *Core) tickWorkers(now time.Time) {
-	for _, w := range c.order {
+	for _, w := range c.allWorkers {
 		if w.up && now.Sub(w.statusAt) > c.cfg.Suspect {
 			c.note(Note{What: WorkerSilent, Worker: w.name, Measure: SilentMS, Value: now.Sub(w.statusAt).Milliseconds()})
 			c.effects.Reconnect = append(c.effects.Reconnect, w.name)
