--- a/jobs/scheduler/calls.go
+++ b/jobs/scheduler/calls.go
@@ -8,32 +8,34 @@
 	"github.com/lichenfall/lichenfall/lib/ordered"
 )
 
-// Call names a caller who waits for a reply.
+// Call identifies a client call that waits for a Reply.
 type Call uint64
 
-// waitingCall is a caller whose reply waits for the store.
+// waitingCall is a call whose reply waits for the store.
 type waitingCall struct {
 	id    durable.JobID
 	since time.Time
 }
 
+// reply sends the reply to a call, which then no longer waits.
 func (c *Core) reply(r Reply) {
 	delete(c.callers, r.Call)
 	c.effects.Replies = append(c.effects.Replies, r)
 }
 
+// fail replies to a call with a failure; the caller may retry after Settings.RetryAfter.
 func (c *Core) fail(call Call, id durable.JobID, kind failure.Kind) {
 	c.failRetryAfter(call, id, kind, 0)
 }
 
-// failRetryAfter fails a call that may do better after the time given, as far as that is known.
-// It is told to come back then, and not before Settings.RetryAfter.
+// failRetryAfter replies to a call with a failure and the time after which a retry may succeed:
+// better, 0 if that is not known, but at least Settings.RetryAfter.
 func (c *Core) failRetryAfter(call Call, id durable.JobID, kind failure.Kind, better time.Duration) {
 	c.reply(Reply{Call: call, ID: id, Failure: kind, RetryAfter: max(c.cfg.RetryAfter, better)})
 	c.note(Note{What: CallFailed, Job: id, Reason: kind.String()})
 }
 
-// tickCallers answers those who have waited too long for the store.
+// tickCallers fails the calls that have waited Settings.CallLimit for the store.
 func (c *Core) tickCallers(now time.Time) {
 	for _, call := range ordered.Keys(c.callers) {
 		w := c.callers[call]
@@ -44,7 +46,8 @@
 	}
 }
 
-// activePartition returns the partition that keeps the job, if it can take calls now.
+// activePartition returns the job's partition if this coordinator owns it and its lease is not
+// suspended, else nil.
 func (c *Core) activePartition(id durable.JobID) *partition {
 	p := c.partitions[id.Partition(c.cfg.Partitions)]
 	if p == nil || p.suspended {
@@ -53,10 +56,10 @@
 	return p
 }
 
-// Owns returns whether calls about the job can be answered here.
+// Owns returns whether this coordinator owns the job's partition and may answer calls about the job.
 func (c *Core) Owns(id durable.JobID) bool { return c.activePartition(id) != nil }
 
-// find returns the job, whoever keeps it.
+// find returns the best-effort or durable job with the ID, or nil.
 func (c *Core) find(id durable.JobID) *job {
 	if j := c.bestEffort[id]; j != nil {
 		return j
@@ -67,10 +70,10 @@
 	return nil
 }
 
-// lookUp returns the kept job that a call is about, with its partition. Without
-// one the call has been answered, or will be once Confirmed, and j is nil; again is
-// what answers it if the job turns up.
-func (c *Core) lookUp(now time.Time, call Call, id durable.JobID, again func(time.Time, Call, durable.JobID)) (p *partition, j *job) {
+// lookUp returns the durable job that a call is about, with its partition. If the job is not
+// here, j is nil: the call has been failed, or waits for the next call of Confirmed, which runs
+// retry if the job exists by then.
+func (c *Core) lookUp(now time.Time, call Call, id durable.JobID, retry func(time.Time, Call, durable.JobID)) (p *partition, j *job) {
 	p = c.activePartition(id)
 	if p == nil {
 		c.fail(call, id, failure.NoOwner)
@@ -78,14 +81,13 @@
 	}
 	j = p.jobs[id]
 	if j == nil {
-		c.deferLookup(now, call, id, again)
+		c.deferLookup(now, call, id, retry)
 	}
 	return p, j
 }
 
-// Submit takes a job. The reply comes once the store has it; that to a
-// best-effort job once it has ended. budget is how long the caller waits; 0 when
-// that is not known.
+// Submit takes a job. A durable job is acknowledged once it is in the store; the reply for a
+// best-effort job is sent when the job ends. budget is how long the caller waits, 0 if unknown.
 func (c *Core) Submit(now time.Time, call Call, s *durable.Submission, budget time.Duration) {
 	if s.BestEffort {
 		c.submitBestEffort(now, call, s, budget)
@@ -114,7 +116,7 @@
 	c.active++
 }
 
-// resubmit answers a resent submission by what became of the first copy.
+// resubmit answers a resent submission of a job that is already here.
 func (c *Core) resubmit(now time.Time, call Call, j *job, s *durable.Submission) {
 	switch {
 	case j.sub != nil && !j.sub.SameContent(s):
@@ -127,12 +129,12 @@
 	}
 }
 
-// State tells where a kept job stands. The reply about a job that is not final
-// waits until the store has confirmed that the job is still ours, and a little for
-// its end, within the time that the caller gives.
+// State replies with the state of a durable job. For a job that is not final the reply waits
+// until the store has confirmed that this coordinator still owns the partition, and for a
+// started job up to Settings.StateWait for its end, but no longer than half of budget.
 func (c *Core) State(now time.Time, call Call, id durable.JobID, budget time.Duration) {
-	again := func(now time.Time, call Call, id durable.JobID) { c.State(now, call, id, 0) }
-	_, j := c.lookUp(now, call, id, again)
+	retry := func(now time.Time, call Call, id durable.JobID) { c.State(now, call, id, 0) }
+	_, j := c.lookUp(now, call, id, retry)
 	switch {
 	case j == nil:
 	case j.stored.Final():
@@ -142,7 +144,7 @@
 	}
 }
 
-// Cancel cancels a kept job. The reply comes once the store has it.
+// Cancel cancels a durable job. The reply is sent once the cancellation is in the store.
 func (c *Core) Cancel(now time.Time, call Call, id durable.JobID) {
 	p, j := c.lookUp(now, call, id, c.Cancel)
 	switch {
@@ -159,7 +161,7 @@
 	}
 }
 
-// Waiting returns, by queue, the number of jobs none of whose tasks has begun.
+// Waiting returns the number of jobs of each queue that have not begun.
 func (c *Core) Waiting() map[string]uint32 {
 	counts := make(map[string]uint32)
 	for _, j := range c.bestEffort {
--- a/jobs/scheduler/commits.go
+++ b/jobs/scheduler/commits.go
@@ -9,14 +9,15 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// batch is what is on its way to the store.
+// batch holds the jobs whose records are in the commit that is in flight.
 type batch struct {
 	submitted []*job
 	changed   []changedJob
 	forgotten []durable.JobID
 }
 
-// changedJob is a job whose progress is on its way.
+// changedJob is a job whose progress is in a commit, with the acknowledgements and the replies
+// to cancellations that are due once the commit succeeds.
 type changedJob struct {
 	job     *job
 	state   durable.State
@@ -24,7 +25,7 @@
 	cancels []Call
 }
 
-// startCommits makes commits of what waits.
+// startCommits starts a commit for each partition whose pending records are due.
 func (c *Core) startCommits(now time.Time) {
 	for _, p := range ordered.Values(c.partitions) {
 		if p.inflight != nil || p.suspended || p.commitBy.IsZero() || now.Before(p.commitBy) || now.Before(p.notBefore) {
@@ -34,14 +35,14 @@
 	}
 }
 
-// draft is a commit that is being put together.
+// draft is a commit under construction.
 type draft struct {
 	commit Commit
 	batch  *batch
 	size   int // bytes of keys and values
 }
 
-// addRecord puts a record into the draft.
+// addRecord adds a record to the draft; one that could not be encoded is logged and left out.
 func (c *Core) addRecord(d *draft, r durable.Record, err error) {
 	if err != nil {
 		c.note(Note{What: RecordInvalid, Reason: err.Error()})
@@ -51,7 +52,8 @@
 	d.size += len(r.Key) + len(r.Value)
 }
 
-// startCommit makes a commit of what waits in the partition, up to MaxBatch.
+// startCommit sends a commit with the pending records of the partition. It adds no more once
+// the commit has reached MaxBatch bytes; the rest is due for the next commit at once.
 func (c *Core) startCommit(now time.Time, p *partition) {
 	d := &draft{commit: Commit{Partition: p.number, Epoch: p.epoch}, batch: &batch{}}
 	c.addSubmissions(p, d)
@@ -69,6 +71,7 @@
 	c.effects.Commits = append(c.effects.Commits, d.commit)
 }
 
+// addSubmissions adds the records of new jobs.
 func (c *Core) addSubmissions(p *partition, d *draft) {
 	for len(p.submitted) > 0 && d.size < c.cfg.MaxBatch {
 		j := p.submitted[0]
@@ -79,6 +82,8 @@
 	}
 }
 
+// addProgress adds the progress of changed jobs, and for final ones the removal of the
+// submission.
 func (c *Core) addProgress(p *partition, d *draft) {
 	for len(p.changed) > 0 && d.size < c.cfg.MaxBatch {
 		j := p.changed[0]
@@ -97,14 +102,14 @@
 	}
 }
 
-// Bounds of forgetting final states.
+// Limits on the removal of final states.
 const (
-	sweepInterval = 5 * time.Second // between two looks at a partition's jobs
-	maxForgotten  = 500             // records of one look
+	sweepInterval = 5 * time.Second // between two sweeps over the jobs of a partition
+	maxForgotten  = 500             // records removed in one sweep
 )
 
-// forgetFinal adds the removal of final states that have been kept long
-// enough; it rides on commits that are made anyway.
+// forgetFinal adds the removal of final states that are older than Settings.KeepFinal. It adds
+// only to commits with other records and starts none of its own.
 func (c *Core) forgetFinal(now time.Time, p *partition, d *draft) {
 	if now.Before(p.sweepAt) {
 		return
@@ -122,7 +127,8 @@
 	}
 }
 
-// Committed tells the core how the commit of a partition went.
+// Committed takes the result of the commit that is in flight for the partition. A result for
+// another epoch is ignored.
 func (c *Core) Committed(now time.Time, number uint32, epoch uint64, result CommitResult) {
 	p := c.partitions[number]
 	if p == nil || p.epoch != epoch || p.inflight == nil {
@@ -141,6 +147,8 @@
 	}
 }
 
+// commitSucceeded accepts the submitted jobs of a stored batch, answers their callers and queues
+// their tasks, and records the progress that is now stored.
 func (c *Core) commitSucceeded(now time.Time, p *partition, b *batch) {
 	for _, j := range b.submitted {
 		j.accepted = true
@@ -163,6 +171,8 @@
 	}
 }
 
+// progressStored publishes a state that is now in the store: it answers watchers and
+// cancellations, and acknowledges ends to their workers.
 func (c *Core) progressStored(now time.Time, ch *changedJob) {
 	ch.job.stored = ch.state
 	if ch.state.Final() {
@@ -177,7 +187,8 @@
 	c.sendAcks(ch.acks)
 }
 
-// sendAcks tells workers which ends they may forget.
+// sendAcks acknowledges ends to the workers that reported them; these may then forget the ends.
+// Workers that are not connected are skipped.
 func (c *Core) sendAcks(acks []ack) {
 	byWorker := make(map[string][]wire.RunRef)
 	for _, a := range acks {
@@ -191,8 +202,8 @@
 	}
 }
 
-// commitRefused puts back what the store would not take. Jobs that were not
-// accepted yet are commitRefused for good.
+// commitRefused handles a batch that the store refused: it drops the submitted jobs and fails
+// their calls, and puts the changed jobs back for a commit after Settings.CommitRetry.
 func (c *Core) commitRefused(now time.Time, p *partition, b *batch) {
 	for _, j := range b.submitted {
 		delete(p.jobs, j.id)
--- a/jobs/scheduler/crashes.go
+++ b/jobs/scheduler/crashes.go
@@ -8,23 +8,24 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// A task may crash each backend server that starts it. So its job is given up once so many
-// have crashed under the task: a crash takes with it all that runs there, and the server
-// for some seconds. Without a bound one task ended all of eleven servers within 0.3 s, and
-// nearly all calls were refused for two. The users' platform lets a job be given up from two
-// crashes on, and a task be started twice more after the third.
+// A task may crash every backend server that starts it. Each crash loses all runs on that
+// server, and the server itself for some seconds. Without a limit one task crashed all of
+// eleven servers within 0.3 s, and nearly all calls were refused for two seconds. So the job is
+// given up once this many servers have crashed under one of its tasks. The users' platform
+// allows a job to be given up from two crashes on, and a task to be started twice more after the
+// third.
 const (
-	crashLimitAlone = 2 // under runs of a best-effort job's task that were at work, the last one with no other suspect there
-	crashLimitBegun = 3 // under runs that were at work, whoever was with them
-	crashLimitTotal = 4 // also under runs of which no answer told whether they had begun
+	crashLimitAlone = 2 // best-effort jobs: crashes under started runs, with no other suspect at the last crash
+	crashLimitBegun = 3 // crashes under started runs, whatever else ran there
+	crashLimitTotal = 4 // all crashes, also under runs that are not known to have started
 )
 
-const reasonCrashes = "servers_crashed" // of a job that was given up
+const reasonCrashes = "servers_crashed" // of a job given up by these limits
 
-// crashes are the backend servers that crashed under one task.
+// crashes lists the backend servers that crashed while they ran one task.
 type crashes []durable.Crash
 
-// add notes a crash, if it is new.
+// add records a crash, unless that backend server instance is already listed.
 func (c *crashes) add(crash durable.Crash) {
 	same := func(o durable.Crash) bool { return o.Instance == crash.Instance }
 	if !slices.ContainsFunc(*c, same) {
@@ -32,7 +33,7 @@
 	}
 }
 
-// begun returns how many of the runs were at work.
+// begun returns under how many of the crashes the run was known to have started.
 func (c crashes) begun() int {
 	n := 0
 	for i := range c {
@@ -43,21 +44,22 @@
 	return n
 }
 
-// tooMany returns whether the task is not to be started again. alone says that it was the
-// only suspect in the last crash: those that were with it by chance in an earlier one must
-// not be given up for it.
+// tooMany returns whether the task must not be started again. alone says that the task was the
+// only suspect in the last crash. Without it the lower limit doesn't apply: tasks that only
+// happened to run beside the culprit of an earlier crash must not be given up for it.
 func (c crashes) tooMany(alone bool) bool {
 	begun := c.begun()
 	return alone && begun >= crashLimitAlone || begun >= crashLimitBegun || len(c) >= crashLimitTotal
 }
 
-// runCrashed takes the end of a run that was lost with its backend server. It returns
-// whether the job is given up for it.
+// runCrashed handles the end of a run that was lost in a crash of its backend server, and
+// returns whether the job is given up. A crash under a best-effort job is also reported to the
+// other coordinators.
 func (c *Core) runCrashed(now time.Time, t *task, e *wire.RunEnd) (givenUp bool) {
 	t.crashes.add(durable.Crash{Task: t.number, Instance: e.Instance, Begun: e.Begun})
 	t.forgetSilence(e.Instance)
-	// Of one crash a worker may be wrong: the run had ended, and the end went with the
-	// server unheard. A kept job is not called failed on the word of two.
+	// A worker's report of a crash may be wrong: the run may have ended before, and its end
+	// been lost with the server. So two reports are not enough to fail a durable job.
 	alone := e.Alone && t.job.sub.BestEffort
 	givenUp = t.crashes.tooMany(alone)
 	if t.job.sub.BestEffort {
@@ -70,8 +72,8 @@
 	return givenUp
 }
 
-// hasSuspect returns whether a task is with the worker under which a backend server has
-// crashed.
+// hasSuspect returns whether a task assigned to the worker has had a backend server crash
+// under it.
 func (w *worker) hasSuspect() bool {
 	for t := range w.assigned {
 		if len(t.crashes) > 0 {
--- a/jobs/scheduler/crashhistory.go
+++ b/jobs/scheduler/crashhistory.go
@@ -8,27 +8,29 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// Bounds of what is remembered of crashes under best-effort jobs. Some times as long as
-// callers try, and some 2 MB.
+// Limits on the recorded crashes under best-effort jobs: several times as long as callers retry,
+// and some 2 MB.
 const (
 	crashHistoryTTL   = time.Minute
 	maxCrashHistories = 10_000 // jobs
 )
 
-// crashHistory is what is known of the crashes under a best-effort job, here and at other
-// coordinators. It outlives the job: a caller who had no answer sends it again, to any
-// coordinator, and its tasks would crash as many servers each time.
+// crashHistory records the crashes under a best-effort job, at this coordinator and at others.
+// It outlives the job: a caller that got no answer resends the job to any coordinator, and
+// without the history its tasks would crash as many servers again.
 type crashHistory struct {
 	crashes []wire.TaskCrash
-	at      time.Time // of the newest
+	at      time.Time // when the newest was recorded
 }
 
-// recordCrash notes a crash under a best-effort job.
+// recordCrash adds a crash to the history of a best-effort job. For a task and an instance that
+// are listed already, any report replaces a suspected crash; a certain one is replaced only by a
+// certain one for which the job was given up.
 func (c *Core) recordCrash(now time.Time, crash wire.TaskCrash) {
 	m := c.crashHistories[crash.Task.Job]
 	if m == nil {
 		if len(c.crashHistories) >= maxCrashHistories {
-			return // a fleet that crashes as a whole: its jobs are not to blame
+			return // so many crashes are a fault of the fleet and not of single jobs
 		}
 		m = &crashHistory{}
 		c.crashHistories[crash.Task.Job] = m
@@ -39,21 +41,21 @@
 	case at < 0:
 		m.crashes = append(m.crashes, crash)
 	case m.crashes[at].Suspected:
-		m.crashes[at] = crash // it is certain now, or still suspected
+		m.crashes[at] = crash // now certain, or still suspected
 	case !crash.Suspected && crash.GivenUp:
 		m.crashes[at] = crash
 	}
 	m.at = now
 }
 
-// reportCrash notes a crash under a best-effort job here and at the other coordinators.
+// reportCrash records a crash under a best-effort job and reports it to the other coordinators.
 func (c *Core) reportCrash(now time.Time, crash wire.TaskCrash) {
 	c.recordCrash(now, crash)
 	c.effects.Crashes = append(c.effects.Crashes, crash)
 }
 
-// reportCrashOfClosedJob takes the crash of a server, or its silence, under a run of a best-effort job
-// that is no longer here: its caller may send it again.
+// reportCrashOfClosedJob reports that a backend server crashed or fell silent under a run of a
+// best-effort job that is over here. Its caller may resend the job.
 func (c *Core) reportCrashOfClosedJob(now time.Time, e *wire.RunEnd) {
 	how := wire.End(e.How)
 	silent := how == wire.EndLapsed && e.Instance != ""
@@ -62,15 +64,15 @@
 	}
 }
 
-// RecordCrashes takes what another coordinator tells of crashes under best-effort jobs.
+// RecordCrashes records crashes under best-effort jobs that another coordinator reports.
 func (c *Core) RecordCrashes(now time.Time, m *wire.CrashNews) {
 	for _, crash := range m.Crashes {
 		c.recordCrash(now, crash)
 	}
 }
 
-// restoreCrashes gives the tasks of a best-effort job that was here or elsewhere before their
-// crashes. It returns whether the job was given up for them, or is now.
+// restoreCrashes adds the recorded crashes of a resent best-effort job to its tasks. It returns
+// whether the job was given up for them before, or has to be now.
 func (c *Core) restoreCrashes(now time.Time, j *job) (givenUp bool) {
 	m := c.crashHistories[j.id]
 	if m == nil {
@@ -92,7 +94,7 @@
 	return givenUp
 }
 
-// expireCrashes forgets the crashes that are long past.
+// expireCrashes drops the histories that are older than crashHistoryTTL.
 func (c *Core) expireCrashes(now time.Time) {
 	for id, m := range c.crashHistories {
 		if now.Sub(m.at) > crashHistoryTTL {
--- a/jobs/scheduler/demand.go
+++ b/jobs/scheduler/demand.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// demand is what the tasks of one service here have asked of workers.
+// demand tracks how much CPU this coordinator's tasks of one service have taken at workers.
 type demand struct {
-	inUse         int64     // what is ordered now, thousandths of a core
-	peak          int64     // the most that was, in this span
-	previousPeak  int64     // the same, in the span before
+	inUse         int64     // of the tasks now with workers, thousandths of a core
+	peak          int64     // highest inUse in this span
+	previousPeak  int64     // highest inUse in the span before
 	spanStart     time.Time // when this span began
-	shortageAt    time.Time // when a task last fitted at no worker
-	shortageStart time.Time // when that began: none had not fitted for demandSpan before
+	shortageAt    time.Time // when tasks last were left for lack of capacity
+	shortageStart time.Time // when that shortage began, after demandSpan without one
 }
 
-// demandSpan is for how long demand is remembered, and up to twice as long. Longer than bursts
-// are apart, so that connections do not come and go with each.
+// demandSpan is the length of a span; demand counts for one to two spans. It is longer than the
+// time between bursts, so that connections are not closed and opened again for each burst.
 const demandSpan = 10 * time.Second
 
-// choiceFactor is how many times the workers that our tasks fill we want to choose from. The others'
-// tasks fill most of each.
+// choiceFactor is how many workers a coordinator wants to choose from for each that its tasks
+// would fill. Tasks of other coordinators fill most of each worker.
 const choiceFactor = 4
 
 func (c *Core) demandOf(service string) *demand {
@@ -29,13 +29,13 @@
 	return d
 }
 
-// use notes that tasks that take so much more have been ordered; less, if negative.
+// use adds the CPU of a task that was ordered, or, if negative, of one that has ended.
 func (d *demand) use(milliCPU int64) {
 	d.inUse += milliCPU
 	d.peak = max(d.peak, d.inUse)
 }
 
-// recordShortage notes that a task fits at no worker now.
+// recordShortage records that dispatch could not place all tasks now.
 func (d *demand) recordShortage(now time.Time) {
 	if now.Sub(d.shortageAt) >= demandSpan {
 		d.shortageStart = now
@@ -43,7 +43,7 @@
 	d.shortageAt = now
 }
 
-// rotate begins a new span when the present one is over.
+// rotate starts a new span when the current one is over.
 func (d *demand) rotate(now time.Time) {
 	if now.Sub(d.spanStart) < demandSpan {
 		return
@@ -52,9 +52,10 @@
 	d.spanStart = now
 }
 
-// WorkersWanted returns how many workers of the service we want to choose from, and
-// whether that is all that we can have: some task has fitted nowhere of late. A connection
-// costs five heartbeats a second and their answers, so who asks for little keeps few.
+// WorkersWanted returns how many workers of the service this coordinator wants to be connected
+// to. all asks for as many as possible: dispatch could not place all tasks recently, or no
+// capacity is known yet. Each connection costs five heartbeats a second and their answers, so a
+// coordinator with little demand keeps few.
 func (c *Core) WorkersWanted(now time.Time, service string) (n int, all bool) {
 	d := c.demandOf(service)
 	d.rotate(now)
@@ -75,7 +76,7 @@
 	return int((asked + capacity - 1) / capacity), false
 }
 
-// ShortageSince returns whether tasks have begun to fit at no worker since then.
+// ShortageSince returns whether a shortage of capacity has begun after the time, in any service.
 func (c *Core) ShortageSince(since time.Time) bool {
 	for _, d := range c.demands {
 		if d.shortageStart.After(since) {
--- a/jobs/scheduler/effects.go
+++ b/jobs/scheduler/effects.go
@@ -8,34 +8,35 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// Effects is what has to be done.
+// Effects is what the caller of a Core has to carry out.
 type Effects struct {
 	Replies   []Reply
 	Commits   []Commit
 	Sends     []ToWorker
-	Reconnect []string         // workers whose connection is to be closed and dialled again
-	Crashes   []wire.TaskCrash // other coordinators are to be told of
+	Reconnect []string         // addresses of workers whose connection is to be closed and dialled again
+	Crashes   []wire.TaskCrash // to be reported to the other coordinators
 	Notes     []Note
 	Begun     []JobBegun // jobs of which a first task was ordered
-	Refused   []int      // the classes of calls that were refused for want of room
-	Confirm   bool       // ask the store soon whether our partitions are still ours
-	Fenced    bool       // a newer owner exists: look at once which partitions are ours
+	Refused   []int      // classes of the calls that were refused for lack of capacity
+	Confirm   bool       // ask the store soon whether this coordinator still owns its partitions
+	Fenced    bool       // a newer owner exists: read at once which partitions this coordinator owns
 }
 
-// JobBegun is a job of which a first task was ordered; one whose tasks were all handed back
-// counts again.
+// JobBegun is a job of which a first task was ordered. A job whose tasks were all handed back
+// is listed again when it begins anew.
 type JobBegun struct {
-	Class  int           // by its queue's priority; 0 to Classes-1
-	Waited time.Duration // since it came
+	Class  int           // of its queue's priority; 0 to Classes-1
+	Waited time.Duration // since the job arrived
 }
 
-// ToWorker is a message to a worker, by its address.
+// ToWorker is a message to the worker with that address.
 type ToWorker struct {
 	Worker  string
 	Message wire.Message
 }
 
-// Reply answers a Call.
+// Reply answers a Call: with the state of the job if Failure is none, else with the failure and
+// how long the caller should wait before it retries.
 type Reply struct {
 	Call       Call
 	ID         durable.JobID
@@ -44,26 +45,26 @@
 	RetryAfter time.Duration
 }
 
-// Commit asks for records to be appended, all or none, under the epoch. Each
-// partition has at most one on its way.
+// Commit asks for records to be appended to the store, all or none, under the epoch. Each
+// partition has at most one commit in flight.
 type Commit struct {
 	Partition uint32
 	Epoch     uint64 // fencing epoch of the partition's owner
 	Records   []durable.Record
 }
 
-// CommitResult says how a Commit went.
+// CommitResult is the result of a Commit.
 type CommitResult uint8
 
 // The results of a Commit.
 const (
 	CommitOK      CommitResult = iota
-	CommitRefused              // certainly not done, and never will be
+	CommitRefused              // not done, and certainly will not be
 	CommitFenced               // not done: another owner has a higher epoch
-	CommitLost                 // the partition was given up before the fate was known
+	CommitLost                 // the partition was given up before the result was known
 )
 
-// String returns the result as a word for logs and labels.
+// String returns the result as a word for logs and metric labels.
 func (r CommitResult) String() string {
 	return [...]string{"ok", "refused", "fenced", "lost"}[r]
 }
--- a/jobs/scheduler/ends.go
+++ b/jobs/scheduler/ends.go
@@ -7,7 +7,7 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// Ends takes ends of runs.
+// Ends handles the ends of runs that a worker reports.
 func (c *Core) Ends(now time.Time, name string, m *wire.RunEnds) {
 	w := c.workers[name]
 	if w == nil {
@@ -18,6 +18,9 @@
 	}
 }
 
+// handleEnd handles one end. If the run is the task's current one the task is freed and the end
+// applied; ends of earlier runs, of tasks that are done and of jobs that are over are mostly just
+// acknowledged.
 func (c *Core) handleEnd(now time.Time, w *worker, e *wire.RunEnd) {
 	j := c.find(e.Ref.Task.Job)
 	if j == nil || j.state.Final() {
@@ -44,9 +47,10 @@
 	c.applyEnd(now, w, t, e)
 }
 
-// handleEarlierEnd takes the end of a run before the present one. One that failed or crashed its
-// server counts, if an earlier owner heard of it and did not keep it; any other was
-// told too late to matter: the worker has let its lease lapse since.
+// handleEarlierEnd handles the end of a run while another run of its task is with a worker. A
+// crash counts, and so does a failed run of a durable job: an earlier owner may have received the
+// end without storing it. Any other end comes too late to matter, since the lease of that run
+// has expired, and is acknowledged at once.
 func (c *Core) handleEarlierEnd(now time.Time, w *worker, t *task, e *wire.RunEnd) {
 	how := wire.End(e.How)
 	if how == wire.EndCrashed {
@@ -64,7 +68,8 @@
 	}
 }
 
-// ackWithProgress acknowledges an end once the job's progress is in the store.
+// ackWithProgress acknowledges an end once the progress of its durable job is in the store. Ends
+// of best-effort jobs need no acknowledgement.
 func (c *Core) ackWithProgress(now time.Time, w *worker, t *task, e *wire.RunEnd) {
 	if t.job.sub.BestEffort {
 		return
@@ -73,8 +78,8 @@
 	c.markChanged(now.Add(c.cfg.LazyCommit), t.job)
 }
 
-// handleEndOfClosedJob acknowledges an end that no longer matters; not before the final
-// state is in the store.
+// handleEndOfClosedJob handles the end of a run whose job is over, or not here. The end no longer
+// matters to the job, but it is acknowledged only once the final state is in the store.
 func (c *Core) handleEndOfClosedJob(now time.Time, w *worker, j *job, e *wire.RunEnd) {
 	c.outstandingRunEnded(e.Ref)
 	c.reportCrashOfClosedJob(now, e)
@@ -90,6 +95,8 @@
 	p.markChanged(now, j)
 }
 
+// taskDone completes the job with its last task, or queues the tasks of the steps that can start
+// now that the task's step is done.
 func (c *Core) taskDone(now time.Time, t *task) {
 	j := t.job
 	j.markDone(t)
@@ -102,7 +109,8 @@
 	}
 }
 
-// finish brings a job to a final state. Callers see it when it is in the store.
+// finish sets a job's final state and stops its runs. Callers of a best-effort job are answered
+// now, those of a durable job once the state is in the store.
 func (c *Core) finish(now time.Time, j *job, state durable.State, reason string) {
 	j.state = state
 	c.active--
@@ -125,7 +133,8 @@
 	c.markChanged(now, j)
 }
 
-// markChanged notes that a kept job's progress is to be written.
+// markChanged schedules the job's progress for a commit by the time given, if this coordinator
+// owns its partition.
 func (c *Core) markChanged(by time.Time, j *job) {
 	if p := c.partitions[j.id.Partition(c.cfg.Partitions)]; p != nil {
 		p.markChanged(by, j)
--- a/jobs/scheduler/evacuations.go
+++ b/jobs/scheduler/evacuations.go
@@ -9,11 +9,11 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// Evacuate takes the data centres in which operators want no task started, as the store has
-// just told. It returns whether others are evacuated than before. Until the first word of it
-// nothing is ordered. What is known stays in force while the store cannot be read: to stop
-// serving in each outage of the store would cost far more than a late evacuation, and of one
-// that came since, workers know by other coordinators.
+// Evacuate sets the data centres in which operators want no tasks started, as just read from the
+// store, and returns whether the set has changed. A reading older than the last is ignored.
+// Before the first reading no tasks are ordered. While the store cannot be read the last reading
+// stays in force: to stop serving in each outage of the store would cost far more than a late
+// evacuation, and workers learn of a newer one from other coordinators.
 func (c *Core) Evacuate(now time.Time, e routing.Evacuations) (changed bool) {
 	if e.Offset < c.evacuations.Offset {
 		return false
@@ -34,10 +34,11 @@
 	return true
 }
 
-// Evacuated returns whether nothing may be started in the data centre.
+// Evacuated returns whether no tasks may be started in the data centre.
 func (c *Core) Evacuated(dataCentre string) bool { return c.evacuations.Has(dataCentre) }
 
-// noteEvacuations remembers and says for the log which data centres are evacuated or taken back.
+// noteEvacuations records since when data centres are evacuated, and logs those that are evacuated
+// or returned.
 func (c *Core) noteEvacuations(now time.Time, before routing.Evacuations) {
 	for _, dataCentre := range c.evacuations.DataCentres {
 		if !before.Has(dataCentre) {
@@ -53,7 +54,7 @@
 	}
 }
 
-// workersIn returns how many connected workers there are in the data centre.
+// workersIn returns the number of connected workers in the data centre.
 func (c *Core) workersIn(dataCentre string) int64 {
 	n := int64(0)
 	for _, w := range c.allWorkers {
@@ -64,18 +65,18 @@
 	return n
 }
 
-// announceEvacuations tells all workers at once. The heartbeat brings it anyway, later by its
-// period, and with it the last word about orders that are on their way is the worker's.
+// announceEvacuations sends the evacuations to all workers at once, ahead of the next regular
+// heartbeat. A worker that has them decides about orders that are still on their way to it.
 func (c *Core) announceEvacuations(now time.Time) {
 	for _, w := range c.allWorkers {
 		c.heartbeat(now, w)
 	}
 }
 
-// evacuationsKnown returns whether the store has told of evacuations.
+// evacuationsKnown returns whether the evacuations have been read from the store.
 func (c *Core) evacuationsKnown() bool { return !c.evacuationsAt.IsZero() }
 
-// evacuationsMessage returns what a worker is told; nil before the store has told of them.
+// evacuationsMessage returns the evacuations for a worker's heartbeat; nil before the first reading.
 func (c *Core) evacuationsMessage(now time.Time) *wire.Evacuations {
 	if !c.evacuationsKnown() {
 		return nil
@@ -87,8 +88,7 @@
 	}
 }
 
-// allEvacuated returns whether every worker that can be reached is in an evacuated data
-// centre.
+// allEvacuated returns whether there are connected workers and all are in evacuated data centres.
 func (c *Core) allEvacuated() bool {
 	reached := false
 	for _, w := range c.allWorkers {
@@ -100,8 +100,8 @@
 	return reached
 }
 
-// refuseAll refuses the best-effort jobs that have not begun, since none will before the
-// operators say so.
+// refuseAll refuses the best-effort jobs that have not begun, since none can begin until the
+// operators end an evacuation. It also lets new jobs be refused without the startup grace.
 func (c *Core) refuseAll(now time.Time) {
 	c.servedAt = now.Add(-startupGrace)
 	for _, j := range ordered.Values(c.bestEffort) {
@@ -111,7 +111,7 @@
 	}
 }
 
-// updateEligible puts the worker among those that new tasks may go to, or takes it out.
+// updateEligible adds the worker to those that new tasks may go to, or removes it.
 func (c *Core) updateEligible(w *worker) {
 	at, is := slices.BinarySearchFunc(c.eligible, w, byName)
 	may := w.preference != Excluded && !c.Evacuated(w.dataCentre)
--- a/jobs/scheduler/outstanding.go
+++ b/jobs/scheduler/outstanding.go
@@ -8,14 +8,15 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// outstandingRuns is a best-effort job that is over here, and whose runs may not be.
+// outstandingRuns tracks the runs of a best-effort job that is over here but whose runs may still
+// be at work.
 type outstandingRuns struct {
-	sent  time.Time // as the job's
-	until time.Time // when the runs are dead for certain, whatever their workers say
+	sent  time.Time // when the job was sent, as far as is known
+	until time.Time // when the runs have certainly ended, whatever their workers report
 	runs  map[wire.RunRef]struct{}
 }
 
-// trackOutstanding notes the runs of a best-effort job that was ended while they were with workers.
+// trackOutstanding records the runs that are with workers when a best-effort job ends.
 func (c *Core) trackOutstanding(now time.Time, j *job) {
 	e := &outstandingRuns{sent: j.sent, until: now.Add(c.cfg.BestEffortWriteOff), runs: make(map[wire.RunRef]struct{})}
 	for i := range j.tasks {
@@ -28,7 +29,7 @@
 	}
 }
 
-// outstandingRunEnded notes the end of a run of a job that is over.
+// outstandingRunEnded records the end of a run of a job that is over.
 func (c *Core) outstandingRunEnded(ref wire.RunRef) {
 	e := c.outstanding[ref.Task.Job]
 	if e == nil {
@@ -40,7 +41,7 @@
 	}
 }
 
-// expireOutstanding drops the jobs whose runs are dead for certain.
+// expireOutstanding drops the jobs whose runs have certainly ended.
 func (c *Core) expireOutstanding(now time.Time) {
 	for _, id := range ordered.Keys(c.outstanding) {
 		if !now.Before(c.outstanding[id].until) {
@@ -49,5 +50,6 @@
 	}
 }
 
-// HasOutstandingRuns returns whether the best-effort job is over here while its runs may not be.
+// HasOutstandingRuns returns whether the best-effort job is over here while runs of it may still
+// be at work.
 func (c *Core) HasOutstandingRuns(id durable.JobID) bool { return c.outstanding[id] != nil }
