--- a/jobs/scheduler/commits.go
+++ b/jobs/scheduler/commits.go
@@ -95,7 +95,7 @@
 		r, err := durable.ProgressRecord(j.id, j.progress())
 		c.addRecord(d, r, err)
 		if j.state.Final() {
-			c.addRecord(d, durable.ForgetSubmission(j.id), nil)
+			c.addRecord(d, durable.SubmissionTombstone(j.id), nil)
 		}
 		d.batch.changed = append(d.batch.changed, changedJob{j, j.state, j.acks, j.cancels})
 		j.acks, j.cancels = nil, nil
@@ -121,7 +121,7 @@
 			return
 		}
 		if j.stored.Final() && !j.dirty && now.Sub(j.final) > c.cfg.KeepFinal {
-			d.commit.Records = append(d.commit.Records, durable.ForgetProgress(id))
+			d.commit.Records = append(d.commit.Records, durable.ProgressTombstone(id))
 			d.batch.forgotten = append(d.batch.forgotten, id)
 		}
 	}
--- a/jobs/scheduler/task.go
+++ b/jobs/scheduler/task.go
@@ -36,9 +36,9 @@
 	worker     *worker   // while assigned
 	startSeq   uint64    // of the StartRuns that carried it
 	checkpoint string    // checkpoint to resume from
-	held       bool      // has held out for a quicker place
+	holdNoted  bool      // has held out for a quicker place
 	due        time.Time // by when it has to begin for the job to be on time
-	queued     time.Time // its turn, while it is in a heap
+	sortKey    time.Time // its turn, while it is in a heap
 	heap       *taskHeap
 	position   int // in heap; -1 when it is in none
 }
