--- a/jobs/scheduler/decisions.go
+++ b/jobs/scheduler/decisions.go
@@ -10,20 +10,20 @@
 const (
 	CallFailed          Decision = "call_failed"           // a call was answered with a failure
 	JobKept             Decision = "job_kept"              // the submission is in the store
-	CopyJoined          Decision = "copy_joined"           // a resent best-effort job is here already; the call waits for its end
-	JobRefused          Decision = "job_refused"           // on arrival: it would wait too long, or there are too many jobs
+	CopyJoined          Decision = "copy_joined"           // a best-effort job came again; the call waits for its end
+	JobRefused          Decision = "job_refused"           // on arrival: it would wait too long, or too many jobs are here
 	JobGivenUp          Decision = "job_given_up"          // refused after it was admitted, before it began
-	RefusalBesideRoom   Decision = "refusal_beside_room"   // a fault: a job would have been refused although all of it fits; it was not
+	RefusalBesideRoom   Decision = "refusal_beside_room"   // a fault: a job was to be refused though it fits; it was not
 	RunOrdered          Decision = "run_ordered"           // sent to a worker
-	TaskHeld            Decision = "task_held"             // it would be late at any worker that has capacity, and waits for a faster one
+	TaskHeld            Decision = "task_held"             // waits for a faster worker; it would be late at the free ones
 	RunEnded            Decision = "run_ended"             // reported by its worker
 	RunAbsent           Decision = "run_absent"            // the worker doesn't know the run; the task is queued again
-	RunWrittenOff       Decision = "run_written_off"       // its worker is unreachable and the run's lease has certainly expired
+	RunWrittenOff       Decision = "run_written_off"       // its worker is unreachable, its lease has certainly expired
 	RunTakenOver        Decision = "run_taken_over"        // a worker has the run, started by an earlier owner
 	WorkerUp            Decision = "worker_up"             // connected
 	WorkerDown          Decision = "worker_down"           // its connection is lost
 	WorkerSilent        Decision = "worker_silent"         // it sent no status for too long; its connection is given up
-	WorkerWrittenOff    Decision = "worker_written_off"    // it sent no run report for a partition, and its leases have certainly expired
+	WorkerWrittenOff    Decision = "worker_written_off"    // it never reported a partition's runs; its leases have expired
 	WorkerEjected       Decision = "worker_ejected"        // its runs are slow or fail: it gets only probes
 	WorkerRestored      Decision = "worker_restored"       // its runs are neither slow nor failing any more
 	RoomAsked           Decision = "room_asked"            // workers were sent what waits here for capacity
@@ -36,7 +36,7 @@
 	PartitionReleased   Decision = "partition_released"    // another coordinator owns it, or will
 	PartitionSuspended  Decision = "partition_suspended"   // the lease may have expired, or is valid again
 	RecordInvalid       Decision = "record_invalid"        // a fault of the program: the record could not be encoded
-	jobPrefix                    = "job_"                  // job_completed, job_failed, job_cancelled: decided; shown to callers once stored
+	jobPrefix                    = "job_"                  // job_completed, job_failed, job_cancelled: decided; shown once stored
 )
 
 // Measure names the figure of a Note in the log.
@@ -52,7 +52,7 @@
 	WorkersAsked    Measure = "workers_asked"    // workers that were sent a request, or its withdrawal
 	WorkersThere    Measure = "workers_there"    // connected workers in the data centre
 	RunsThere       Measure = "runs_there"       // this coordinator's runs at the worker
-	SlownessPercent Measure = "slowness_percent" // run times against the worker's baseline; Limit is the bound for an outlier
+	SlownessPercent Measure = "slowness_percent" // run times over the worker's baseline; Limit: an outlier's
 	FailingPercent  Measure = "failing_percent"  // share of the latest runs that failed
 	OpenJobs        Measure = "open_jobs"        // jobs that are not final
 	PartitionNumber Measure = "partition"
--- a/jobs/scheduler/job.go
+++ b/jobs/scheduler/job.go
@@ -8,43 +8,44 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// job is one job: of a partition that we own, or best-effort.
+// job is one job: a durable one of a partition that this coordinator owns, or a best-effort one.
 type job struct {
-	sub      *durable.Submission // nil once it is final
+	sub      *durable.Submission // nil once the final state is stored
 	id       durable.JobID
-	state    durable.State // as decided
-	stored   durable.State // as the store has it
+	state    durable.State // as decided here; callers see stored
+	stored   durable.State // as it is in the store
 	accepted bool          // the submission is in the store, or need not be
 	ran      bool          // a task has run, or may have
-	assigned int           // tasks that are with workers
-	class    int           // its place among classes; 0 is the most urgent
+	assigned int           // number of tasks that are with workers
+	class    int           // priority class; 0 is the most urgent
 	tasks    []task
-	left     int   // tasks that are not done
+	left     int   // number of tasks that are not done
 	stepLeft []int // the same, by step
 
 	received     time.Time
-	sent         time.Time     // the earliest that its first call may have been sent
-	criticalPath time.Duration // the longest chain of work
-	due          time.Time     // its objective: an answer later than this is late
-	uselessAt    time.Time     // after which an answer is worth nothing
-	abandonAt    time.Time     // the same, if the work was much underestimated
+	sent         time.Time     // earliest time at which the caller may first have sent it
+	criticalPath time.Duration // total estimate of the longest chain of dependent steps
+	due          time.Time     // an answer after it is late
+	uselessAt    time.Time     // an answer after it is of no use
+	abandonAt    time.Time     // a started job is cancelled after it; allows for underestimated work
 	startBy      time.Time     // a best-effort job that has not begun by then is refused
-	final        time.Time     // when it became final
-
-	calls       []Call    // wait for the submission; of a best-effort job, for its end
-	cancels     []Call    // wait for the cancel
-	watchers    []watcher // wait a little for the end
-	acks        []ack     // ends that may be acknowledged with the next progress
-	dirty       bool      // progress is to be written
-	reconciling bool      // workers are still to say whether they run tasks of it
+	final        time.Time     // when the final state was stored
+
+	calls       []Call    // wait for the submission to be stored; of a best-effort job, for its end
+	cancels     []Call    // wait for the cancellation to be stored
+	watchers    []watcher // State calls that wait for the end
+	acks        []ack     // ends to acknowledge once the next progress is stored
+	dirty       bool      // in partition.changed
+	reconciling bool      // of an earlier owner: workers still have to report whether they run its tasks
 }
 
-// ack is an end that a worker is told to forget.
+// ack is the end of a run that is to be acknowledged to a worker.
 type ack struct {
 	worker string
 	ref    wire.RunRef
 }
 
+// newJob returns a job that arrives now, with all tasks blocked.
 func (c *Core) newJob(s *durable.Submission, now time.Time) *job {
 	j := &job{sub: s, id: s.ID, received: now, sent: now, class: c.cfg.Load.class(s.Queue.Priority), left: s.Tasks(), stepLeft: make([]int, len(s.Steps))}
 	j.tasks = make([]task, 0, j.left)
@@ -65,15 +66,15 @@
 	return j
 }
 
-// uselessFactor is how many times its objective a job may take before its answer is
-// of no use: the users count an answer as late up to then, and as nothing after.
+// uselessFactor is how many times its objective a job may take until its answer is of no use. The
+// users count an answer as late up to then, and as none after.
 const uselessFactor = 3
 
-// underestimateFactor is how many times longer than estimated work may well take: a job that has
-// begun is not abandoned before.
+// underestimateFactor is how many times longer than uselessFactor allows a started job may take
+// until it is cancelled, in case its work was underestimated.
 const underestimateFactor = 2
 
-// setDueTimes works out by when each task should begin.
+// setDueTimes sets the job's deadlines, and by when each task has to begin for the job to be on time.
 func (j *job) setDueTimes(now time.Time) {
 	chains := chainsAfter(j.sub.Steps)
 	longest := time.Duration(0)
@@ -91,8 +92,8 @@
 	}
 }
 
-// chainsAfter returns for each step the work from its start to the end of the
-// job, along the longest chain.
+// chainsAfter returns for each step the total estimate of the longest chain of dependent steps
+// that starts with it.
 func chainsAfter(steps []durable.Step) []time.Duration {
 	chains := make([]time.Duration, len(steps))
 	for i := len(steps) - 1; i >= 0; i-- {
@@ -104,11 +105,10 @@
 	return chains
 }
 
-// age returns how long ago the job came, in milliseconds.
+// age returns how long ago the job arrived, in milliseconds.
 func (j *job) age(now time.Time) int64 { return now.Sub(j.received).Milliseconds() }
 
-// visibleState returns the state that callers may see: a final one only when the
-// store has it.
+// visibleState returns the state to show to callers: a final one only once it is in the store.
 func (j *job) visibleState() durable.State {
 	switch {
 	case j.stored.Final():
@@ -119,11 +119,11 @@
 	return durable.Queued
 }
 
-// begun returns whether a task has run, or may run now. A job whose tasks were
-// all handed back has not.
+// begun returns whether a task has run, or may be running. A job whose tasks were all handed
+// back before they ran has not begun.
 func (j *job) begun() bool { return j.ran || j.assigned > 0 }
 
-// progress returns the record of how far the job is.
+// progress returns the job's progress record: of a final job the state alone.
 func (j *job) progress() *durable.Progress {
 	p := &durable.Progress{State: uint8(durable.Queued)}
 	if j.state.Final() {
@@ -143,7 +143,7 @@
 	return p
 }
 
-// restore sets the job to what the store has of its progress.
+// restore sets the job's tasks by its stored progress, which may be nil.
 func (j *job) restore(p *durable.Progress) {
 	if p == nil {
 		return
@@ -165,7 +165,7 @@
 	}
 }
 
-// markDone marks a task as markDone; it may be called once for each.
+// markDone marks a task as done. It may be called only once for each task.
 func (j *job) markDone(t *task) {
 	t.state = taskDone
 	t.worker = nil
@@ -174,7 +174,7 @@
 	j.stepLeft[t.id.Step]--
 }
 
-// dependenciesDone returns whether all that the step depends on is done.
+// dependenciesDone returns whether all steps that the step depends on are done.
 func (j *job) dependenciesDone(step *durable.Step) bool {
 	for _, d := range step.DependsOn {
 		if j.stepLeft[d] > 0 {
@@ -184,7 +184,7 @@
 	return true
 }
 
-// find returns the task, or nil.
+// find returns the job's task with the ID, or nil if there is none or the job is final.
 func (j *job) find(id durable.TaskID) *task {
 	if id.Repeat != 0 || int(id.Step) >= len(j.stepLeft) || j.sub == nil {
 		return nil
--- a/jobs/scheduler/lookups.go
+++ b/jobs/scheduler/lookups.go
@@ -7,27 +7,26 @@
 	"github.com/lichenfall/lichenfall/lib/failure"
 )
 
-// pendingLookup is a call about a job that is not here. Another coordinator may own the
-// partition by now and have kept the job, which our lease does not tell: so "there is
-// no such job" waits until the store has confirmed that the partition was still ours
-// after the call came.
+// pendingLookup is a call about a job that is not here. Another coordinator may have become the
+// owner of the partition and have stored the job, without our lease showing it. So the call is
+// answered with JobNotFound only once the store has confirmed that this coordinator still owned
+// the partition after the call arrived.
 type pendingLookup struct {
 	call  Call
 	id    durable.JobID
 	asked time.Time
-	retry func(now time.Time, call Call, id durable.JobID) // asks once more
+	retry func(now time.Time, call Call, id durable.JobID) // handles the call again
 }
 
-// deferLookup makes a call wait for Confirmed. One that waits too long is answered by
-// tickCallers.
+// deferLookup makes a call wait for Confirmed, at most for Settings.CallLimit (tickCallers).
 func (c *Core) deferLookup(now time.Time, call Call, id durable.JobID, again func(time.Time, Call, durable.JobID)) {
 	c.callers[call] = waitingCall{id, now}
 	c.pendingLookups = append(c.pendingLookups, pendingLookup{call: call, id: id, asked: now, retry: again})
 }
 
-// Confirmed tells the core that the store has answered a join that was sent at the
-// time given: what it lists as ours was ours then. Partitions that it no longer lists
-// have been released before.
+// Confirmed records that the store has answered a join which was sent at the time given: at that
+// time this coordinator owned the partitions that the core has. The caller must have released
+// those that the answer did not list.
 func (c *Core) Confirmed(now, sent time.Time) {
 	c.confirmedAt = sent
 	for _, w := range c.allWorkers {
@@ -48,8 +47,7 @@
 	}
 }
 
-// resolveLookup answers a call about a job of which it is now known whether it is
-// here.
+// resolveLookup answers a pending call now that ownership is confirmed.
 func (c *Core) resolveLookup(now time.Time, q pendingLookup) {
 	p := c.activePartition(q.id)
 	switch {
@@ -62,7 +60,7 @@
 	}
 }
 
-// failLookups answers the calls about jobs of a partition that is no longer ours.
+// failLookups fails the pending calls about jobs of a partition that was released.
 func (c *Core) failLookups(partition uint32) {
 	waiting := c.pendingLookups
 	c.pendingLookups = nil
--- a/jobs/scheduler/partition.go
+++ b/jobs/scheduler/partition.go
@@ -8,31 +8,31 @@
 	"github.com/lichenfall/lichenfall/lib/ordered"
 )
 
-// partition is a partition that this coordinator owns.
+// partition is a partition of the job store that this coordinator owns.
 type partition struct {
 	number    uint32
 	epoch     uint64
 	jobs      map[durable.JobID]*job
-	suspended bool                 // our lease on it may be over
-	fencedAt  time.Time            // when a worker last said that it has seen a later owner
-	awaiting  map[string]time.Time // workers that may hold tasks of it unknown to us, and until when
+	suspended bool                 // our lease on it may have expired
+	fencedAt  time.Time            // when a worker last reported a later owner
+	awaiting  map[string]time.Time // workers still to report their runs of it, and until when to wait
 
-	submitted []*job // records to be written
-	changed   []*job
-	commitBy  time.Time // when the next commit has to be cut; zero when there is nothing
-	inflight  *batch
-	notBefore time.Time
-	sweepAt   time.Time
+	submitted []*job    // jobs whose submission is to be written
+	changed   []*job    // jobs whose progress is to be written
+	commitBy  time.Time // when the next commit is due; zero if nothing is to be written
+	inflight  *batch    // of the commit in flight; nil if there is none
+	notBefore time.Time // of the next commit
+	sweepAt   time.Time // of the next sweep of final jobs
 }
 
-// requestCommit asks for a commit by that time.
+// requestCommit makes the next commit due by that time at the latest.
 func (p *partition) requestCommit(by time.Time) {
 	if p.commitBy.IsZero() || by.Before(p.commitBy) {
 		p.commitBy = by
 	}
 }
 
-// markChanged notes that a job's progress is to be written.
+// markChanged schedules the job's progress for a commit by that time.
 func (p *partition) markChanged(by time.Time, j *job) {
 	if !j.dirty {
 		j.dirty = true
@@ -41,7 +41,8 @@
 	p.requestCommit(by)
 }
 
-// Acquire gives the core a partition with all that the store has of it.
+// Acquire adds a partition that this coordinator now owns under the epoch, with all that the store
+// holds of it. Its open jobs go on once every worker has reported what it runs of the partition.
 func (c *Core) Acquire(now time.Time, number uint32, epoch uint64, stored map[durable.JobID]*durable.Stored) {
 	p := &partition{
 		number:   number,
@@ -57,7 +58,7 @@
 			open++
 		}
 	}
-	if len(stored) > 0 { // else no worker can have anything of it
+	if len(stored) > 0 { // otherwise no worker can have runs of it
 		for _, w := range c.allWorkers {
 			p.awaiting[w.name] = now.Add(c.cfg.WriteOff)
 		}
@@ -68,7 +69,8 @@
 	c.note(Note{What: PartitionAcquired, Measure: OpenJobs, Value: int64(open)})
 }
 
-// restoreJob makes a job of what the store has of it.
+// restoreJob adds a stored job to the partition. It returns nil if the store has neither its
+// submission nor a final state.
 func (c *Core) restoreJob(now time.Time, p *partition, id durable.JobID, s *durable.Stored) *job {
 	if s.Progress != nil && durable.State(s.Progress.State).Final() {
 		j := &job{id: id, state: durable.State(s.Progress.State), accepted: true, final: now}
@@ -88,7 +90,7 @@
 	return j
 }
 
-// Release takes a partition from the core: another owner has it, or will.
+// Release removes a partition that another coordinator owns or will own. Calls about its jobs fail.
 func (c *Core) Release(now time.Time, number uint32, reason string) {
 	p := c.partitions[number]
 	if p == nil {
@@ -102,7 +104,8 @@
 	c.note(Note{What: PartitionReleased, Reason: reason, Measure: PartitionNumber, Value: int64(number)})
 }
 
-// dropJob forgets a job of a partition that is given up.
+// dropJob removes a job of a released partition. Its runs are not stopped: the next owner takes
+// them over.
 func (c *Core) dropJob(now time.Time, j *job) {
 	for _, call := range append(j.calls, j.cancels...) {
 		if _, ok := c.callers[call]; ok {
@@ -120,8 +123,8 @@
 	}
 }
 
-// Suspend stops or resumes all work on a partition, while our lease on it may
-// be over.
+// Suspend stops all work on a partition while this coordinator's lease on it may have expired,
+// or resumes it.
 func (c *Core) Suspend(now time.Time, number uint32, suspended bool) {
 	p := c.partitions[number]
 	if p == nil || p.suspended == suspended {
@@ -141,7 +144,7 @@
 	}
 }
 
-// partitionFenced takes a worker's word that a later owner of the partition has been there.
+// partitionFenced records that a worker has reported a later owner of the partition.
 func (c *Core) partitionFenced(now time.Time, number uint32) {
 	c.effects.Fenced = true
 	if p := c.partitions[number]; p != nil {
@@ -149,13 +152,15 @@
 	}
 }
 
-// superseded returns whether a worker has seen a later owner of the partition, and the
-// store has not denied that since: nothing of it is ordered, though our lease lasts.
+// superseded returns whether a worker has reported a later owner of the partition, and the store
+// has not confirmed our ownership since. No runs of it are ordered then, even while our lease is
+// valid.
 func (c *Core) superseded(p *partition) bool {
 	return !p.fencedAt.IsZero() && !c.confirmedAt.After(p.fencedAt)
 }
 
-// tickPartitions gives up waiting for workers that did not answer in time.
+// tickPartitions stops waiting for the reports of workers that are overdue: what they ran has
+// certainly ended. It ends the reconciliation of partitions without outstanding reports.
 func (c *Core) tickPartitions(now time.Time) {
 	for _, p := range ordered.Values(c.partitions) {
 		for _, name := range ordered.Keys(p.awaiting) {
@@ -171,8 +176,8 @@
 	}
 }
 
-// endReconciliation frees the jobs of an earlier owner once all that may run of them is
-// known.
+// endReconciliation queues the tasks of an earlier owner's jobs, once it is known which of them
+// run at workers.
 func (c *Core) endReconciliation(now time.Time, p *partition) {
 	for _, j := range ordered.Values(p.jobs) {
 		if j.reconciling {
--- a/jobs/scheduler/reports.go
+++ b/jobs/scheduler/reports.go
@@ -6,8 +6,7 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// AwaitingReports returns whether workers are still to tell what they have of a
-// partition.
+// AwaitingReports returns whether any worker still has to report what it runs of a partition.
 func (c *Core) AwaitingReports() bool {
 	for _, p := range c.partitions {
 		if len(p.awaiting) > 0 {
@@ -17,8 +16,9 @@
 	return false
 }
 
-// Runs takes all that a worker knows of a partition, or of the best-effort runs
-// that we asked about.
+// Runs handles a worker's report of all its runs of a partition, or its reply to our query about
+// best-effort runs. Runs of the partition that are assigned to the worker and missing from the
+// report are queued again, unless they were ordered after the worker wrote it.
 func (c *Core) Runs(now time.Time, name string, m *wire.PartitionRuns) {
 	w := c.workers[name]
 	if w != nil && m.Partition == wire.BestEffortRuns {
@@ -41,7 +41,7 @@
 	}
 	for _, t := range w.tasks() {
 		if t.startSeq > m.StartSeq {
-			continue // ordered after the worker wrote this
+			continue // ordered after the worker wrote the report
 		}
 		if !t.job.sub.BestEffort && t.id.Job.Partition(c.cfg.Partitions) == m.Partition && !known[t.ref()] {
 			c.requeueLost(now, t, RunAbsent)
@@ -53,8 +53,8 @@
 	}
 }
 
-// reconcileRun takes a run that a worker has: that of an earlier owner is taken over,
-// one that is not wanted is stopped.
+// reconcileRun compares a run that a worker reports with the job's state: a run that an earlier
+// owner started is taken over, one that is no longer wanted is stopped.
 func (c *Core) reconcileRun(now time.Time, w *worker, p *partition, ref wire.RunRef) {
 	j := p.jobs[ref.Task.Job]
 	if j == nil || j.state.Final() {
@@ -76,9 +76,9 @@
 	}
 }
 
-// sendNeeds tells a worker what those of the listed runs take that are ours: the
-// worker may have found them when its process started, and orders out nothing until
-// it knows.
+// sendNeeds sends a worker the resources that those of the listed runs need that are ours. A
+// worker that found them at its backend server when its process started doesn't know them, and
+// starts no other runs until it does.
 func (c *Core) sendNeeds(w *worker, listed []wire.RunRef) {
 	m := &wire.RunNeeds{}
 	for _, ref := range listed {
@@ -91,7 +91,7 @@
 	}
 }
 
-// runningTask returns the task whose present run at the worker that is, or nil.
+// runningTask returns the task whose current run, at the worker, is ref; nil if there is none.
 func (c *Core) runningTask(w *worker, ref wire.RunRef) *task {
 	j := c.find(ref.Task.Job)
 	if j == nil {
@@ -104,9 +104,9 @@
 	return t
 }
 
-// queryRuns asks a worker what became of best-effort runs that were ordered before the
-// connection broke. It names all that are still wanted, and asks also if there is none: the
-// worker stops the others.
+// queryRuns asks a worker for the state of the best-effort runs that were ordered over earlier
+// connections. The query lists all runs that are still wanted, and is sent even if there are
+// none: the worker stops the others.
 func (c *Core) queryRuns(w *worker) {
 	m := &wire.RunsQuery{}
 	w.queried = nil
@@ -119,10 +119,10 @@
 	c.send(w.name, m)
 }
 
-// handleQueryReply takes the worker's answer: what it does not know never runs. What it has
-// and is no longer wanted is stopped: a stop that was sent before the worker had found the
-// run, which an earlier process there had started, did nothing, and from now on our lease
-// keeps the run.
+// handleQueryReply handles the reply to queryRuns. A run that the worker doesn't know will never
+// run, and its task is queued again. A run that is no longer wanted is stopped once more: an
+// earlier stop had no effect if it came before the worker found the run, which an earlier
+// process there had started, and from now on our lease would keep the run alive.
 func (c *Core) handleQueryReply(now time.Time, w *worker, m *wire.PartitionRuns) {
 	known := make(map[wire.RunRef]bool, len(m.Running)+len(m.Ended))
 	for _, ref := range m.Running {
@@ -145,8 +145,8 @@
 	}
 }
 
-// requeueLost frees a task whose run has certainly ended, or never began, without a word
-// of how: it is ordered again.
+// requeueLost queues a task again whose run has certainly ended, or never began, without a report
+// of its end. The job counts as begun, since the run may have been at work.
 func (c *Core) requeueLost(now time.Time, t *task, what Decision) {
 	c.note(Note{What: what, Task: t.id.String(), Run: t.run, Worker: t.worker.name})
 	c.setBegun(now, t.job, t.job.assigned, true)
@@ -154,7 +154,8 @@
 	c.enqueue(now, t)
 }
 
-// writeOff frees the tasks of a worker whose leases are over.
+// writeOff queues the tasks of an unreachable worker again once the leases of their runs have
+// certainly expired.
 func (c *Core) writeOff(now time.Time, w *worker) {
 	silent := now.Sub(w.heartbeatAt)
 	for _, t := range w.tasks() {
--- a/jobs/scheduler/retries.go
+++ b/jobs/scheduler/retries.go
@@ -8,8 +8,8 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// applyEnd decides what an end means for its task: it is done, it is ordered again,
-// or the job has failed.
+// applyEnd applies the end of a task's current run: the task is done, it is queued again, or the
+// job fails.
 func (c *Core) applyEnd(now time.Time, w *worker, t *task, e *wire.RunEnd) {
 	how := wire.End(e.How)
 	t.handedBack = how == wire.EndNotRun
@@ -31,17 +31,18 @@
 		t.avoid = append(t.avoid, w.name)
 		c.enqueue(now, t)
 	case wire.EndNotRun:
-		w.status.Free = durable.Resources{} // until it says what it has
+		w.status.Free = durable.Resources{} // until its next status
 		c.enqueue(now, t)
 	case wire.EndLapsed:
 		c.runLapsed(now, t, e)
 		c.enqueue(now, t)
-	default: // stopped, or gone with a server that had said so: no fault of the task
+	default: // stopped, or lost with a server that had announced its stop: not the task's fault
 		c.enqueue(now, t)
 	}
 	c.ackWhenStored(now, w, t.job, e, how)
 }
 
+// noteEnd logs the end of a run.
 func (c *Core) noteEnd(w *worker, t *task, e *wire.RunEnd, how wire.End) {
 	c.note(Note{
 		What:     RunEnded,
@@ -55,8 +56,8 @@
 	})
 }
 
-// runFailed orders the task again, elsewhere if it can be, unless its attempts
-// are spent.
+// runFailed queues the task again, to run at another worker if possible, or fails the job if the
+// task has used up its attempts.
 func (c *Core) runFailed(now time.Time, w *worker, t *task, e *wire.RunEnd) {
 	t.avoid = append(t.avoid, w.name)
 	if t.failed(e.Ref.Run) >= t.job.sub.Queue.MaxAttempts {
@@ -66,11 +67,12 @@
 	c.enqueue(now, t)
 }
 
-// ackWhenStored sees that the end of a kept job's run is acknowledged to its worker once
-// the job's progress is in the store: at once if that ends the job.
+// ackWhenStored acknowledges the end of a durable job's run to the worker once the job's progress
+// is in the store. The progress is due for a commit at once if the job is final, and within
+// Settings.LazyCommit otherwise.
 func (c *Core) ackWhenStored(now time.Time, w *worker, j *job, e *wire.RunEnd, how wire.End) {
 	if j.sub.BestEffort || how == wire.EndNotRun || how == wire.EndLost {
-		return // there is nothing to keep, or the backend server does not list it
+		return // nothing to store, or the backend server doesn't list the run
 	}
 	j.acks = append(j.acks, ack{w.name, e.Ref})
 	by := now.Add(c.cfg.LazyCommit)
--- a/jobs/scheduler/retryafter.go
+++ b/jobs/scheduler/retryafter.go
@@ -7,13 +7,14 @@
 	"github.com/lichenfall/lichenfall/lib/failure"
 )
 
-// retrySpread is over how many seconds the refused of the first class are told to come back; of each
-// later class over one more. Callers hear of whole seconds.
+// retrySpread is the number of seconds over which the retries of refused calls of class 0 are
+// spread; each later class has one more. Callers get retry times in whole seconds.
 const retrySpread = 2
 
-// refuse refuses a call for want of room, and says when to come back: when it would have waited
-// no longer than it may, and then by turns in one second or the next, so that those who were
-// refused together do not come back together, and the urgent ones are first.
+// refuse refuses a call for lack of capacity and tells the caller when to retry: once the expected
+// wait in f is down to the allowed one, plus some seconds that differ from one refused call to
+// the next, so that callers refused together don't retry together. The seconds spread less in
+// urgent classes, so that their callers retry first. f is nil if there is no forecast.
 func (c *Core) refuse(now time.Time, call Call, s *durable.Submission, f *Forecast) {
 	c.noteRefusal(now, s.Queue.Name)
 	class := c.cfg.Load.class(s.Queue.Priority)
--- a/jobs/scheduler/scheduler.go
+++ b/jobs/scheduler/scheduler.go
@@ -1,16 +1,17 @@
-// Package scheduler is the core of a coordinator: which jobs are taken, what of
-// them is written to the store, and which worker runs which task when.
+// Package scheduler is the core of a coordinator. It decides which jobs are admitted, which of
+// their records are written to the store, and which worker runs which task when.
 //
-// A kept job is acknowledged when its record is in the store, a task's end is
-// acknowledged to its worker when the job's progress is, and a final state is
-// shown when it is. What a task does in between is known by the worker beside
-// it; a new owner asks all workers before it starts anything of an old job.
+// There are two kinds of jobs. A durable job is acknowledged once its submission is in the store.
+// The end of one of its runs is acknowledged to the worker once the job's progress is in the
+// store, and a final state is shown to callers once that is. The store doesn't hold what is
+// running: that is known only at the workers, so a new owner of a partition starts no tasks of
+// its stored jobs before all workers have reported what they run, or their leases have certainly
+// expired. A best-effort job is never stored, and lives as long as a caller waits for its end.
 //
-// It owns the jobs of the partitions that this coordinator has, the best-effort
-// jobs that came here, and what it believes of each worker. It relies on its
-// caller for the time, for carrying out the Effects, and for leases on partitions
-// (package ownership). It does no I/O and reads no clock. docs/DECISIONS.md names
-// the function of each rule.
+// The package owns the jobs of the partitions that this coordinator owns, the best-effort jobs
+// submitted to it, and its view of each worker. It relies on its caller for the time, for
+// carrying out the Effects, and for the leases on partitions (package ownership). It does no I/O
+// and reads no clock. docs/DECISIONS.md names the function behind each rule.
 package scheduler
 
 import (
@@ -23,67 +24,69 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// Settings of a Core.
+// Settings configures a Core.
 type Settings struct {
-	Partitions uint32        // of the job store
+	Partitions uint32        // number of partitions of the job store
 	DataCentre string        // of this coordinator
 	Heartbeat  time.Duration // between heartbeats to a worker
-	Suspect    time.Duration // silence after which a worker's connection is given up
-	// WriteOff is how long after its last heartbeat a worker may still run what it
-	// was ordered to; later it is dead for certain.
+	Suspect    time.Duration // time without a status after which a worker's connection is given up
+	// WriteOff is how long after the last heartbeat sent to a worker its runs may still be at
+	// work. After that they have certainly ended.
 	WriteOff           time.Duration
-	BestEffortWriteOff time.Duration // the same of runs of best-effort jobs
-	CommitGap          time.Duration // least time between two commits of a partition
-	LazyCommit         time.Duration // how long an end may wait that no caller waits for
-	CallLimit          time.Duration // after which a caller is told that the commit is unknown
-	RetryAfter         time.Duration // what refused callers are told
-	CommitRetry        time.Duration // pause after the store refused a commit
-	KeepFinal          time.Duration // how long final states are kept
-	StateWait          time.Duration // how long the answer to a question waits for a job's end
-	MaxBatch           int           // bytes of one commit
-	MaxJobs            int           // jobs held at once, final ones apart
-	StragglerX         float64       // a run is stopped after so many times its estimate
-	StragglerMin       time.Duration // and this much more
+	BestEffortWriteOff time.Duration // WriteOff for the runs of best-effort jobs
+	CommitGap          time.Duration // minimum time between two commits of a partition
+	LazyCommit         time.Duration // longest delay of a commit of ends that no caller waits for
+	CallLimit          time.Duration // longest wait of a call for the store; its outcome is unknown then
+	RetryAfter         time.Duration // least time after which refused callers are told to retry
+	CommitRetry        time.Duration // pause of a partition's commits after the store refused one
+	KeepFinal          time.Duration // how long final states stay in the store
+	StateWait          time.Duration // longest wait of a State call for a job's end
+	MaxBatch           int           // bytes from which on no more is added to a commit
+	MaxJobs            int           // jobs held at once, without final ones
+	StragglerX         float64       // a run is stopped after this many times its expected time
+	StragglerMin       time.Duration // plus this
 	Load               LoadPolicy
 }
 
-// Core is the core of one coordinator.
+// Core holds the state of one coordinator. Its methods must not be called concurrently. What has
+// to be done as a result of them is returned by Take.
 type Core struct {
 	cfg    Settings
 	random *rand.Rand
 
 	// Jobs.
 	partitions     map[uint32]*partition
-	bestEffort     map[durable.JobID]*job // jobs that are not kept
+	bestEffort     map[durable.JobID]*job // best-effort jobs that are not over
 	crashHistories map[durable.JobID]*crashHistory
 	active         int                                // jobs that are not final
-	callers        map[Call]waitingCall               // who wait for the store
-	outstanding    map[durable.JobID]*outstandingRuns // best-effort jobs that are over, and their runs may not be
-	watched        map[*job]struct{}                  // jobs whose end is waited for by callers
-	pendingLookups []pendingLookup                    // about jobs that are not here
-	// confirmedAt is when the newest join was sent that the store has answered.
+	callers        map[Call]waitingCall               // calls that wait for the store
+	outstanding    map[durable.JobID]*outstandingRuns // best-effort jobs that are over, but maybe not their runs
+	watched        map[*job]struct{}                  // jobs with watchers
+	pendingLookups []pendingLookup                    // calls about jobs that are not here
+	// confirmedAt is when the last join that the store answered was sent: our ownership of the
+	// partitions is confirmed for that time.
 	confirmedAt time.Time
-	ready       map[string]*readyQueue // tasks that want a worker, by service
-	suspended   map[*task]struct{}     // tasks that wait for news of silent servers
+	ready       map[string]*readyQueue // tasks that wait for a worker, by service
+	suspended   map[*task]struct{}     // tasks that wait until it is known whether silent servers have crashed
 
 	// Workers.
 	workers    map[string]*worker
-	allWorkers []*worker                    // all that are known, by name
-	eligible   []*worker                    // those that new tasks may go to (updateEligible), by name
-	sharers    map[string]float64           // coordinators that share each worker of a service, with this one
+	allWorkers []*worker                    // all known workers, ordered by name
+	eligible   []*worker                    // those that new tasks may go to (updateEligible), ordered by name
+	sharers    map[string]float64           // by service: coordinators that share each worker, including this one
 	demands    map[string]*demand           // by service
-	requests   map[string]*capacityRequests // for room, by service
-	servedAt   time.Time                    // when there was last a worker that took tasks
+	requests   map[string]*capacityRequests // for capacity, by service
+	servedAt   time.Time                    // last time at which a worker took tasks
 
-	evacuations   routing.Evacuations  // where nothing may be started
-	evacuationsAt time.Time            // when the store last told of them; zero before it has
-	evacuatedAt   map[string]time.Time // since when each is known
-	refusals      map[string]*refusals // of late, by queue
+	evacuations   routing.Evacuations  // last reading from the store
+	evacuationsAt time.Time            // when they were last read; zero before the first reading
+	evacuatedAt   map[string]time.Time // by data centre: when this coordinator learned of it
+	refusals      map[string]*refusals // recent ones, by queue
 
-	// Who is served when not all fit.
-	recent       map[string][]*recentWork // what came of late to the queues of each service, by name
-	reviews      map[string]review        // of the queue of each service
-	refusedCalls [lastClass + 1]int       // calls that were told when to come back, by class
+	// Admission while not all jobs fit.
+	recent       map[string][]*recentWork // by service: recent work of each queue, ordered by name
+	reviews      map[string]review        // by service: last review of what waits
+	refusedCalls [lastClass + 1]int       // by class: calls refused so far, to spread their retries
 
 	effects Effects
 }
@@ -112,8 +115,8 @@
 	}
 }
 
-// Take places what can be placed and returns what has to be done since the
-// last call.
+// Take dispatches waiting tasks, starts commits that are due, and returns what has to be done since
+// the last call.
 func (c *Core) Take(now time.Time) Effects {
 	c.dispatch(now)
 	c.startCommits(now)
@@ -122,7 +125,8 @@
 	return e
 }
 
-// Tick does what is due by time.
+// Tick does what is due at the time: heartbeats, timeouts and expiries. It is to be called
+// regularly, several times per heartbeat interval.
 func (c *Core) Tick(now time.Time) {
 	serving := c.workersServing(now) > 0
 	if c.servedAt.IsZero() || serving {
@@ -139,11 +143,12 @@
 	c.resumeTasks(now)
 }
 
+// send adds a message to a worker to the effects.
 func (c *Core) send(worker string, m wire.Message) {
 	c.effects.Sends = append(c.effects.Sends, ToWorker{worker, m})
 }
 
-// Partitions returns the partitions that can take calls here.
+// Partitions returns the owned partitions that are not suspended, in order.
 func (c *Core) Partitions() []wire.PartitionEpoch {
 	var out []wire.PartitionEpoch
 	for _, n := range ordered.Keys(c.partitions) {
@@ -155,7 +160,7 @@
 	return out
 }
 
-// AllStored returns whether nothing waits for the store.
+// AllStored returns whether there are no records left to be written and no commits in flight.
 func (c *Core) AllStored() bool {
 	for _, p := range c.partitions {
 		if p.inflight != nil || len(p.submitted) > 0 || len(p.changed) > 0 {
--- a/jobs/scheduler/task.go
+++ b/jobs/scheduler/task.go
@@ -9,53 +9,54 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
+// taskState is the state of a task.
 type taskState uint8
 
 const (
-	taskBlocked  taskState = iota // a step before it is not done
-	taskReady                     // wants a worker
-	taskAssigned                  // sent to a worker
+	taskBlocked  taskState = iota // waits for steps that its step depends on, or is suspended
+	taskReady                     // waits for a worker
+	taskAssigned                  // with a worker
 	taskDone
 )
 
 // task is one task of a job that is not final.
 type task struct {
 	job        *job
-	number     uint32 // over all steps
+	number     uint32 // index in job.tasks, over all steps
 	id         durable.TaskID
 	step       *durable.Step
 	state      taskState
-	starts     uint32    // runs ordered under this epoch
-	run        uint32    // the newest run
-	failures   []uint32  // runs that failed
-	crashes    crashes   // runs that were lost with a crashed backend server
-	silences   []silence // servers that fell silent under it, and may have crashed
-	handedBack bool      // the newest run was handed back
-	straggles  int       // runs that were stopped as stragglers
-	avoid      []string  // workers where a run failed or straggled
-	worker     *worker   // while assigned
-	startSeq   uint64    // of the StartRuns that carried it
-	checkpoint string    // checkpoint to resume from
-	holdNoted  bool      // has held out for a quicker place
+	starts     uint32    // number of runs ordered by this coordinator under the current epoch
+	run        uint32    // number of the latest run
+	failures   []uint32  // numbers of the runs that failed
+	crashes    crashes   // backend servers that crashed under it
+	silences   []silence // backend servers that fell silent under it and may have crashed
+	handedBack bool      // the worker handed the latest run back without starting it
+	straggles  int       // number of runs that were stopped as stragglers
+	avoid      []string  // addresses of workers where a run failed or straggled
+	worker     *worker   // that it is assigned to; else nil
+	startSeq   uint64    // StartRuns.Seq of the current run; 0 if ordered over an earlier connection
+	checkpoint string    // to resume from; empty if there is none
+	holdNoted  bool      // it has been logged that the task waits for a faster worker
 	due        time.Time // by when it has to begin for the job to be on time
-	sortKey    time.Time // its turn, while it is in a heap
-	heap       *taskHeap
-	position   int // in heap; -1 when it is in none
+	sortKey    time.Time // virtual deadline at which it was queued
+	heap       *taskHeap // that it is in or was last in
+	position   int       // in heap; -1 if it is in none
 }
 
-// byTask orders tasks by their jobs, and within one by their numbers.
+// byTask orders tasks by job ID, and tasks of one job by number.
 func byTask(a, b *task) int {
 	return cmp.Or(cmp.Compare(a.id.Job, b.id.Job), cmp.Compare(a.number, b.number))
 }
 
-// runsPerEpoch is how many run numbers of a task each owner of a partition may use: the
-// numbers of a later owner are above them. A hand-back uses one up, each 2 to 3 ms at the
-// most. Enough for ten seconds of hand-backs, and for 262,144 changes of owner below
+// runsPerEpoch is how many run numbers of a task each owner of a partition may use; the numbers
+// of a later owner are above them. A run that is handed back uses up a number, at most one every
+// 2 to 3 ms. 4096 suffice for ten seconds of that, and allow 262,144 changes of owner below
 // wire.BestEffortRun.
 const runsPerEpoch = 4096
 
-// nextRun returns the number of the task's next run. Numbers of a later owner
-// are above all that earlier ones used.
+// nextRun returns the number of the task's next run. It is above all numbers that earlier owners
+// of the partition used.
 func (t *task) nextRun(epoch uint64) uint32 {
 	t.starts++
 	base := uint32(epoch-t.job.sub.Epoch) * runsPerEpoch
@@ -66,12 +67,14 @@
 	return t.run
 }
 
-// work returns the task's work by its estimate, in thousandths of a core times nanoseconds.
+// work returns the task's estimated work, in thousandths of a core times nanoseconds.
 func (t *task) work() float64 { return float64(t.step.Need.CPU) * float64(t.step.Estimate()) }
 
+// ref returns the reference of the task's latest run.
 func (t *task) ref() wire.RunRef { return wire.RunRef{Task: t.id, Run: t.run} }
 
-// failed notes a failed run and returns how many there have been.
+// failed records a failed run, once however often it is reported, and returns the number of
+// failed runs.
 func (t *task) failed(run uint32) uint32 {
 	if !slices.Contains(t.failures, run) {
 		t.failures = append(t.failures, run)
@@ -79,5 +82,5 @@
 	return uint32(len(t.failures))
 }
 
-// avoids returns whether the task should not run on the worker again.
+// avoids returns whether a run of the task has failed or straggled at the worker.
 func (t *task) avoids(w *worker) bool { return slices.Contains(t.avoid, w.name) }
--- a/jobs/scheduler/view.go
+++ b/jobs/scheduler/view.go
@@ -6,25 +6,26 @@
 	"github.com/lichenfall/lichenfall/lib/ordered"
 )
 
-// WorkerView is what the core believes of a worker, for operators.
+// WorkerView is the core's view of a worker, for operators.
 type WorkerView struct {
 	Address    string `json:"address"`
-	DataCentre string `json:"data_centre"` // empty until it has been connected
+	DataCentre string `json:"data_centre"` // empty until the first connection
 	Connected  bool   `json:"connected"`
-	Ready      bool   `json:"ready"`     // takes tasks, by its own word
-	Evacuated  bool   `json:"evacuated"` // operators want no task started there
+	Ready      bool   `json:"ready"`     // takes tasks, as it last reported
+	Evacuated  bool   `json:"evacuated"` // operators want no tasks started there
 	Ejected    bool   `json:"ejected"`   // its runs are slow or fail
-	Asked      bool   `json:"asked"`     // for room, for what waits here
-	// TimeFactor is the usual time of runs there over their estimates, and Slowness that of the
-	// latest over what is usual, both in percent and by its own word; 0 if not known.
+	Asked      bool   `json:"asked"`     // whether a capacity request to it is active
+	// TimeFactor is the baseline of the worker's run times over their estimates, and Slowness
+	// its latest run times over that baseline. Both are in percent and as the worker reports
+	// them; 0 if not known.
 	TimeFactor uint32 `json:"time_factor"`
 	Slowness   uint32 `json:"slowness"`
 	Capacity   int64  `json:"capacity"` // thousandths of a core
-	Free       int64  `json:"free"`     // the same; may be negative
-	Runs       int    `json:"runs"`     // of this coordinator, on their way or at work
+	Free       int64  `json:"free"`     // thousandths of a core; may be negative
+	Runs       int    `json:"runs"`     // of this coordinator, ordered or at work
 }
 
-// Workers returns what is believed of all known workers, by address.
+// Workers returns the views of all known workers, ordered by address.
 func (c *Core) Workers() []WorkerView {
 	out := make([]WorkerView, 0, len(c.allWorkers))
 	for _, w := range c.allWorkers {
@@ -49,11 +50,11 @@
 // EvacuationView is an evacuated data centre, for operators.
 type EvacuationView struct {
 	DataCentre string    `json:"data_centre"`
-	Since      time.Time `json:"since"` // when this coordinator heard of it
-	Runs       int       `json:"runs"`  // of this coordinator, that are left to end there
+	Since      time.Time `json:"since"` // when this coordinator learned of it
+	Runs       int       `json:"runs"`  // of this coordinator that have still to end there
 }
 
-// EvacuationViews returns the evacuated data centres.
+// EvacuationViews returns the evacuated data centres, ordered by name.
 func (c *Core) EvacuationViews() []EvacuationView {
 	out := make([]EvacuationView, 0, len(c.evacuatedAt))
 	for _, dataCentre := range ordered.Keys(c.evacuatedAt) {
@@ -68,23 +69,23 @@
 	return out
 }
 
-// Refusals are counted for operators over a while, in steps: what goes wrong now, and not
-// what went wrong today.
+// Refusals are counted over a sliding window, so that operators see what goes wrong now and not
+// what went wrong earlier in the day.
 const (
 	refusalSpan  = 10 * time.Second
-	refusalSteps = 10 // of a second each, by which the count is too low at most
+	refusalSteps = 10 // of one second each; the window is up to one step short
 )
 
-// refusals counts the calls of one queue that were refused lately.
+// refusals counts the recently refused calls of one queue.
 type refusals struct {
-	steps [refusalSteps]uint32
-	step  int64 // the newest, since 1970
+	steps [refusalSteps]uint32 // ring of counts
+	step  int64                // number of the newest step, since 1970
 }
 
-// at returns the number of the step that a moment is in.
+// at returns the number of the step that the time is in.
 func (r *refusals) at(now time.Time) int64 { return now.UnixNano() / int64(refusalSpan/refusalSteps) }
 
-// rotate empties the steps that are over.
+// rotate clears the steps that have left the window.
 func (r *refusals) rotate(now time.Time) {
 	newest := r.at(now)
 	for step := max(r.step+1, newest-refusalSteps+1); step <= newest; step++ {
@@ -93,11 +94,13 @@
 	r.step = max(r.step, newest)
 }
 
+// add counts one refusal.
 func (r *refusals) add(now time.Time) {
 	r.rotate(now)
 	r.steps[r.step%refusalSteps]++
 }
 
+// count returns the number of refusals in the window.
 func (r *refusals) count(now time.Time) uint32 {
 	r.rotate(now)
 	n := uint32(0)
@@ -107,7 +110,7 @@
 	return n
 }
 
-// noteRefusal counts a refused job for operators.
+// noteRefusal counts a refused call of the queue.
 func (c *Core) noteRefusal(now time.Time, queue string) {
 	r := c.refusals[queue]
 	if r == nil {
@@ -117,7 +120,8 @@
 	r.add(now)
 }
 
-// Refused returns, by queue, how many calls were refused in the last ten seconds.
+// Refused returns the number of calls of each queue that were refused in the last ten seconds,
+// without queues that had none.
 func (c *Core) Refused(now time.Time) map[string]uint32 {
 	out := make(map[string]uint32)
 	for queue, r := range c.refusals {
--- a/jobs/scheduler/watchers.go
+++ b/jobs/scheduler/watchers.go
@@ -7,14 +7,16 @@
 	"github.com/lichenfall/lichenfall/lib/ordered"
 )
 
-// watcher is a caller who waits for the end of a job.
+// watcher is a State call that waits for the end of a job.
 type watcher struct {
 	call  Call
-	asked time.Time
-	until time.Time
+	asked time.Time // when the call arrived
+	until time.Time // when it is answered even if the job has not ended
 }
 
-// watch has a caller wait for the end of a job that is not final.
+// watch makes a call wait for the end of a job that is not final: if the job has begun up to
+// Settings.StateWait, and up to half of the caller's budget; else only for a confirmation of
+// our ownership (tickWatchers).
 func (c *Core) watch(now time.Time, call Call, j *job, budget time.Duration) {
 	until := now
 	if j.begun() {
@@ -24,10 +26,11 @@
 	c.watched[j] = struct{}{}
 }
 
-// tickWatchers answers those who have waited for a job's end long enough. Another
-// owner may have brought the job to its end, which callers may have seen; so that it
-// has none is said only once Confirmed, and while our lease lasts: a process that stood still
-// after the confirmation would say it later. For want of that it is not said at all.
+// tickWatchers answers the watchers that have waited long enough. Another owner may have ended
+// the job in the meantime, and callers may have seen that end. So a state that is not final is
+// reported only after the store has confirmed our ownership for a time since the call arrived,
+// and while our lease is valid, since this process may have been suspended after the
+// confirmation. A watcher for which this doesn't come about within Settings.CallLimit is failed.
 func (c *Core) tickWatchers(now time.Time) {
 	for _, j := range ordered.KeysFunc(c.watched, byID) {
 		left := j.watchers[:0]
@@ -48,8 +51,8 @@
 	}
 }
 
-// answerWatchers tells all who wait for the end of the job, or that it is no longer
-// ours.
+// answerWatchers answers all watchers of a job: with its final state, or with a failure if the
+// job is no longer ours.
 func (c *Core) answerWatchers(j *job) {
 	for _, w := range j.watchers {
 		if j.stored.Final() {
--- a/jobs/scheduler/workers.go
+++ b/jobs/scheduler/workers.go
@@ -9,51 +9,53 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// worker is a worker as this coordinator knows it.
+// worker is this coordinator's view of a worker.
 type worker struct {
-	name         string // its address
+	name         string // address
 	dataCentre   string
-	up           bool // connected
+	up           bool // whether it is connected
 	preference   Preference
 	status       wire.WorkerStatus
 	identity     wire.BackendIdentity
-	statusAt     time.Time // when the newest status came
-	upAt         time.Time // when the connection was made
-	heartbeatAt  time.Time // when the newest heartbeat was sent
-	heartbeatSeq uint64    // of the newest heartbeat
-	confirmed    bool      // a heartbeat over this connection was wire.OwnerHeartbeat.Confirmed
-	startSeq     uint64    // of the newest StartRuns
+	statusAt     time.Time // when the latest status was received
+	upAt         time.Time // when the connection was established
+	heartbeatAt  time.Time // when the latest heartbeat was sent
+	heartbeatSeq uint64    // of the latest heartbeat
+	confirmed    bool      // a heartbeat over this connection had wire.OwnerHeartbeat.Confirmed
+	startSeq     uint64    // of the latest StartRuns
 	assigned     map[*task]struct{}
-	queried      []queriedRun // asked about since the connection is new
-	outlier      bool         // its runs are slow or fail, by its status
-	probedAt     time.Time    // when it last got a task as an outlier
+	queried      []queriedRun // listed in the RunsQuery that has no reply yet
+	outlier      bool         // its runs are slow or fail, as it reports; it gets only probes
+	probedAt     time.Time    // when an outlier was last sent a task
 	request      capacityRequest
-	speed        knownSpeed // the last that was heard of a life
-	// speedIgnored has the worker taken to be as fast as any other.
+	speed        knownSpeed // last reported baseline of a backend server's incarnation
+	// speedIgnored makes the worker count as being as fast as any other.
 	speedIgnored bool
 }
 
-// queriedRun is a run that a worker was asked about. By the time of the answer its task may
-// have a later run there, of which the answer knows nothing.
+// queriedRun is a run that a RunsQuery listed. By the time of the reply its task may have a later
+// run at the worker, about which the reply says nothing.
 type queriedRun struct {
 	task *task
 	ref  wire.RunRef
 }
 
-// tasks returns the tasks that are with the worker, in their order.
+// tasks returns the tasks that are assigned to the worker, ordered by byTask.
 func (w *worker) tasks() []*task {
 	return ordered.KeysFunc(w.assigned, byTask)
 }
 
-// byName orders workers by their names.
+// byName orders workers by name.
 func byName(a, b *worker) int { return cmp.Compare(a.name, b.name) }
 
+// insertByName inserts a worker into a list ordered by name.
 func insertByName(workers []*worker, w *worker) []*worker {
 	at, _ := slices.BinarySearchFunc(workers, w, byName)
 	return slices.Insert(workers, at, w)
 }
 
-// WorkerKnown tells the core of a worker that exists, reachable or not.
+// WorkerKnown adds a worker that exists, whether it can be reached or not. Partitions that wait
+// for reports of other workers wait for its report too.
 func (c *Core) WorkerKnown(now time.Time, name string) {
 	if c.workers[name] != nil {
 		return
@@ -69,7 +71,8 @@
 	}
 }
 
-// WorkerUp tells the core of a new connection to a worker.
+// WorkerUp records a new connection to a worker, and drops the state of an earlier connection. Its
+// assigned tasks stay.
 func (c *Core) WorkerUp(now time.Time, name, dataCentre string) {
 	c.WorkerKnown(now, name)
 	w := c.workers[name]
@@ -89,8 +92,8 @@
 	c.note(Note{What: WorkerUp, Worker: name})
 }
 
-// WorkerDown tells the core that the connection is lost. What the worker had
-// may still run until it is back or its leases are over.
+// WorkerDown records that the connection to a worker is lost. Its runs may go on: they stay
+// assigned until the worker is connected again and reports them, or their leases have expired.
 func (c *Core) WorkerDown(_ time.Time, name string) {
 	w := c.workers[name]
 	if w == nil || !w.up {
@@ -101,21 +104,23 @@
 	c.note(Note{What: WorkerDown, Worker: name, Measure: RunsThere, Value: int64(len(w.assigned))})
 }
 
-// Status takes a worker's status.
+// Status handles a worker's status. The first one over a connection is answered with a heartbeat
+// and a query for the runs that were ordered over earlier connections; it also asks the caller
+// to have the store confirm our ownership.
 func (c *Core) Status(now time.Time, name string, m *wire.WorkerStatus) {
 	w := c.workers[name]
 	if w == nil || !w.up {
 		return
 	}
 	first := w.status.Stamp == 0
-	newLife := m.Identity != nil && m.Identity.Instance != w.identity.Instance
+	newIncarnation := m.Identity != nil && m.Identity.Instance != w.identity.Instance
 	if m.Identity != nil {
 		w.identity = *m.Identity
 	}
 	w.status = *m
 	w.rememberSpeed()
 	w.statusAt = now
-	if newLife {
+	if newIncarnation {
 		w.request.active, w.request.reported = false, false
 	}
 	c.noteFreeCapacity(w)
@@ -129,7 +134,8 @@
 	}
 }
 
-// heartbeat renews our leases at the worker.
+// heartbeat sends a heartbeat, which renews our leases at the worker. Before the first status over a
+// connection it does nothing.
 func (c *Core) heartbeat(now time.Time, w *worker) {
 	if !w.up || w.status.Stamp == 0 {
 		return
@@ -140,8 +146,8 @@
 	c.send(w.name, &wire.OwnerHeartbeat{Seq: w.heartbeatSeq, Echo: w.status.Stamp, Partitions: c.Partitions(), Confirmed: w.confirmed, Evacuations: c.evacuationsMessage(now)})
 }
 
-// tickWorkers sends heartbeats, gives up silent connections, and writes off what
-// workers had that cannot be reached.
+// tickWorkers sends the heartbeats that are due, gives up connections to workers that have sent
+// no status for too long, and writes off expired runs of workers that are not connected.
 func (c *Core) tickWorkers(now time.Time) {
 	for _, w := range c.allWorkers {
 		if w.up && now.Sub(w.statusAt) > c.cfg.Suspect {
@@ -158,13 +164,13 @@
 	}
 }
 
-// Busy returns whether the worker has tasks of ours, or may have.
+// Busy returns whether tasks of this coordinator are, or may be, with the worker.
 func (c *Core) Busy(name string) bool {
 	w := c.workers[name]
 	return w != nil && len(w.assigned) > 0
 }
 
-// SendFailed tells the core that a message could not be sent to the worker.
+// SendFailed records that a message to the worker could not be sent. Its connection is dialled again.
 func (c *Core) SendFailed(now time.Time, name string) {
 	c.effects.Reconnect = append(c.effects.Reconnect, name)
 	c.WorkerDown(now, name)
