--- a/jobs/scheduler/bench_test.go
+++ b/jobs/scheduler/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// BenchmarkTask takes best-effort jobs of 4 tasks through a core with so many
-// workers; the figure is for one task.
+// BenchmarkTask runs best-effort jobs of 4 tasks through a core with different numbers of workers.
+// Its figures are per task.
 func BenchmarkTask(b *testing.B) {
 	for _, workers := range []int{11, 66, 960} {
 		b.Run(fmt.Sprintf("%d_workers", workers), func(b *testing.B) { benchmarkTask(b, workers) })
@@ -66,8 +66,8 @@
 	}
 }
 
-// BenchmarkTick is a round of heartbeats to 960 workers, of which there are
-// five a second.
+// BenchmarkTick measures one round of heartbeats to 960 workers and their statuses. There are five
+// rounds a second.
 func BenchmarkTick(b *testing.B) {
 	cfg := config.DefaultScheduler()
 	core := scheduler.New(cfg.Core("nadi"), 1)
--- a/jobs/scheduler/crashes_test.go
+++ b/jobs/scheduler/crashes_test.go
@@ -12,12 +12,14 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// crash tells that the run was lost with its backend server.
+// crash reports that the run was lost in a crash of its backend server. Each run has a server
+// instance of its own.
 func (f *fixture) crash(s sent, begun, alone bool) {
 	f.core.Ends(f.now, s.worker, &wire.RunEnds{Ends: []wire.RunEnd{{Ref: s.order.Ref, How: uint8(wire.EndCrashed), Instance: fmt.Sprint("i-", s.worker, s.order.Ref.Run), Begun: begun, Alone: alone}}})
 }
 
-// next returns the only run that is ordered now, with the workers free.
+// next reports the workers as free and returns the run that is ordered, of which there must be
+// exactly one.
 func (f *fixture) next(workers ...string) sent {
 	for _, name := range workers {
 		f.status(name, 4000)
@@ -27,8 +29,8 @@
 	return runs[0]
 }
 
-var _ = Describe("a task under which backend servers crash", func() {
-	It("is started until the third crash, also if it was the only suspect each time", func() {
+var _ = Describe("a task that crashes backend servers", func() {
+	It("is started again until the third crash, even if it was the only suspect each time", func() {
 		f := newFixture().owning(nil)
 		f.worker("w1")
 		run := f.running(job(tasks(1)))[0]
@@ -43,7 +45,7 @@
 		Expect(f.state()).To(Equal(durable.Failed))
 	})
 
-	It("is started until the fourth, if no answer told that it had begun", func() {
+	It("is started again until the fourth crash, if the runs are not known to have started", func() {
 		f := newFixture().owning(nil)
 		f.worker("w1")
 		run := f.running(job(tasks(1)))[0]
@@ -57,7 +59,7 @@
 		Expect(f.state()).To(Equal(durable.Failed))
 	})
 
-	It("counts each crash once, also one that is told after a later start", func() {
+	It("has each crash counted once, also if it is reported after a later start", func() {
 		f := newFixture().owning(nil)
 		f.worker("w1")
 		first := f.running(job(tasks(1)))[0]
@@ -74,7 +76,7 @@
 		Expect(f.state()).To(Equal(durable.Failed))
 	})
 
-	It("of a best-effort job ends it at the second, if it was the only suspect there", func() {
+	It("fails a best-effort job at the second crash, if it was the only suspect there", func() {
 		f := newFixture()
 		f.worker("w1")
 		f.core.Submit(f.now, 1, bestEffort(1), 0)
@@ -83,7 +85,7 @@
 		Expect(f.core.Take(f.now).Replies).To(ConsistOf(And(HaveField("Call", scheduler.Call(1)), HaveField("State", durable.Failed))))
 	})
 
-	It("of a best-effort job ends it at the third, if other suspects were there", func() {
+	It("fails a best-effort job at the third crash, if other suspects were there", func() {
 		f := newFixture()
 		f.worker("w1")
 		f.core.Submit(f.now, 1, bestEffort(1), 0)
@@ -94,7 +96,7 @@
 		Expect(f.core.Take(f.now).Replies).To(ConsistOf(HaveField("State", durable.Failed)))
 	})
 
-	It("of a best-effort job is known for when its caller sends it again, here and elsewhere", func() {
+	It("has its crashes remembered when its best-effort job is resent, here or to another coordinator", func() {
 		here, elsewhere := newFixture(), newFixture()
 		here.worker("w1")
 		elsewhere.worker("w1")
@@ -112,7 +114,7 @@
 		}
 	})
 
-	It("that was given up for it is not started when its caller sends it again", func() {
+	It("is not started again when its best-effort job, given up for crashes, is resent within a minute", func() {
 		f := newFixture()
 		f.worker("w1")
 		f.core.RecordCrashes(f.now, &wire.CrashNews{Crashes: []wire.TaskCrash{{Task: durable.TaskID{Job: id}, Instance: "i", Begun: true, GivenUp: true}}})
@@ -122,10 +124,10 @@
 		Expect(f.orders(e)).To(BeEmpty())
 		f.wait(2*time.Minute, "w1")
 		f.core.Submit(f.now, 2, bestEffort(1), 0)
-		Expect(f.orders(f.core.Take(f.now))).To(HaveLen(1), "it is long past")
+		Expect(f.orders(f.core.Take(f.now))).To(HaveLen(1), "the history has expired")
 	})
 
-	It("has its crashes kept for the next owner of its partition", func() {
+	It("has its crashes stored for the next owner of its partition", func() {
 		f := newFixture().owning(nil)
 		f.worker("w1")
 		run := f.running(job(tasks(1)))[0]
@@ -151,7 +153,7 @@
 		Expect(f.state()).To(Equal(durable.Failed))
 	})
 
-	It("goes where no other such task is, so that the next crash tells whose fault it is", func() {
+	It("is placed where no other suspect runs, so that the next crash shows which task is at fault", func() {
 		f := newFixture().owning(nil)
 		for _, name := range []string{"w1", "w2", "w3"} {
 			f.worker(name)
--- a/jobs/scheduler/demand_test.go
+++ b/jobs/scheduler/demand_test.go
@@ -10,13 +10,13 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-var _ = Describe("the workers that a coordinator wants to choose from", func() {
+var _ = Describe("the number of workers wanted", func() {
 	wanted := func(f *fixture) int {
 		n, all := f.core.WorkersWanted(f.now, "s")
 		Expect(all).To(BeFalse())
 		return n
 	}
-	// busy is a core of which one job of three tasks runs on four workers.
+	// busy returns a core with four workers, on which one job of three tasks runs.
 	busy := func() (*fixture, []sent) {
 		f := newFixture()
 		for _, name := range []string{"w1", "w2", "w3", "w4"} {
@@ -27,12 +27,12 @@
 		return f, f.orders(f.core.Take(f.now))
 	}
 
-	It("are all while nothing is known of any", func() {
+	It("is as many as possible while no capacity is known", func() {
 		_, all := newFixture().core.WorkersWanted(time.Unix(1000, 0), "s")
 		Expect(all).To(BeTrue())
 	})
 
-	It("are four times those that its tasks filled of late, and few when they are gone", func() {
+	It("is four times the workers that recent tasks filled, and drops when they have ended", func() {
 		f, runs := busy()
 		Expect(wanted(f)).To(Equal(3), "4 x 3,000 of 4,000 each")
 		for _, r := range runs {
@@ -40,12 +40,12 @@
 		}
 		Expect(wanted(f)).To(Equal(3))
 		f.now = f.now.Add(11 * time.Second)
-		Expect(wanted(f)).To(Equal(3), "for the span before")
+		Expect(wanted(f)).To(Equal(3), "by the peak of the span before")
 		f.now = f.now.Add(11 * time.Second)
 		Expect(wanted(f)).To(BeZero())
 	})
 
-	It("are all as soon as a task fits nowhere, and until none has for long", func() {
+	It("is as many as possible once a task fits at no worker, until all have fitted for a while", func() {
 		f, _ := busy()
 		before := f.now
 		Expect(f.core.ShortageSince(before)).To(BeFalse())
@@ -62,7 +62,7 @@
 		began := f.now
 		f.now = f.now.Add(time.Millisecond)
 		f.core.Take(f.now)
-		Expect(f.core.ShortageSince(began)).To(BeFalse(), "it is the same shortage")
+		Expect(f.core.ShortageSince(began)).To(BeFalse(), "the same shortage goes on")
 		f.now = f.now.Add(11 * time.Second)
 		Expect(wanted(f)).To(Equal(3))
 	})
--- a/jobs/scheduler/evacuations_test.go
+++ b/jobs/scheduler/evacuations_test.go
@@ -12,7 +12,7 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// workerIn connects a worker in another data centre.
+// workerIn connects a worker in the data centre.
 func (f *fixture) workerIn(dataCentre, name string) {
 	f.core.WorkerUp(f.now, name, dataCentre)
 	f.status(name, 4000)
@@ -20,7 +20,7 @@
 	f.core.Confirmed(f.now, f.now)
 }
 
-// evacuate tells that these data centres are evacuated, by the next reading.
+// evacuate sets the evacuated data centres, as read from the store at the offset.
 func (f *fixture) evacuate(offset uint64, dataCentres ...string) bool {
 	return f.core.Evacuate(f.now, routing.Evacuations{Offset: offset, DataCentres: dataCentres})
 }
@@ -34,7 +34,7 @@
 		f.core.Take(f.now)
 	})
 
-	It("gets no tasks until it is taken back", func() {
+	It("gets no tasks until its evacuation ends", func() {
 		Expect(f.evacuate(2, "nadi")).To(BeTrue())
 		f.core.Submit(f.now, 1, bestEffort(2), 0)
 		for _, run := range f.orders(f.core.Take(f.now)) {
@@ -49,22 +49,22 @@
 		Expect(f.next().worker).To(Equal("w2"))
 	})
 
-	It("has its workers told in the same moment", func() {
+	It("is announced to its workers at once", func() {
 		f.evacuate(2, "nadi")
-		told := make(map[string]*wire.Evacuations)
+		announced := make(map[string]*wire.Evacuations)
 		for _, s := range f.core.Take(f.now).Sends {
 			if m, ok := s.Message.(*wire.OwnerHeartbeat); ok {
-				told[s.Worker] = m.Evacuations
+				announced[s.Worker] = m.Evacuations
 			}
 		}
-		Expect(told).To(HaveKeyWithValue("w2", &wire.Evacuations{Offset: 2, DataCentres: []string{"nadi"}}))
+		Expect(announced).To(HaveKeyWithValue("w2", &wire.Evacuations{Offset: 2, DataCentres: []string{"nadi"}}))
 	})
 
-	It("counts for no room: what does not fit elsewhere is refused", func() {
+	It("adds no capacity: what does not fit elsewhere is refused", func() {
 		f.evacuate(2, "nadi")
 		f.status("w1", 0)
 		f.core.Submit(f.now, 1, bestEffort(80), 0)
-		Expect(f.core.Take(f.now).Replies).To(BeEmpty(), "nothing is before it")
+		Expect(f.core.Take(f.now).Replies).To(BeEmpty(), "no other job waits before it")
 		other := bestEffort(1)
 		other.ID = "5c0e7a21d94b36f9"
 		f.core.Submit(f.now, 2, other, 0)
@@ -73,7 +73,7 @@
 		Expect(n).To(BeNumerically("<=", 1))
 	})
 
-	It("gets nothing from a worker that connects there later, or is preferred again", func() {
+	It("gets no tasks at a worker that connects later, or becomes preferred again", func() {
 		f.evacuate(2, "nadi")
 		f.workerIn("nadi", "w3")
 		f.core.SetPreference("w2", scheduler.Excluded)
@@ -84,13 +84,13 @@
 		}
 	})
 
-	It("stays evacuated by the word of an older reading", func() {
+	It("stays evacuated despite an older reading", func() {
 		f.evacuate(5, "nadi")
 		Expect(f.evacuate(4)).To(BeFalse())
 		Expect(f.core.Evacuated("nadi")).To(BeTrue())
 	})
 
-	It("has a job refused at once, queued or new, if there is no other", func() {
+	It("has all jobs refused at once, queued or new, if there is no other data centre", func() {
 		f.status("w1", 0)
 		f.status("w2", 0)
 		f.core.Submit(f.now, 1, bestEffort(1), 0)
@@ -102,7 +102,7 @@
 		Expect(f.core.Serving(f.now)).To(BeFalse())
 	})
 
-	It("may be any while the store has told of none", func() {
+	It("may be any before the first reading: no tasks are started", func() {
 		core := scheduler.New(f.cfg.Core("nadi"), 1)
 		f.core = core
 		f.workerIn("nadi", "w1")
@@ -112,7 +112,7 @@
 		Expect(f.orders(f.core.Take(f.now))).To(HaveLen(1))
 	})
 
-	It("is told with its age, so that workers know who has heard the store", func() {
+	It("is announced with the age of the reading, so that workers know the newest", func() {
 		f.evacuate(2, "nadi")
 		f.core.Take(f.now)
 		f.pass(300 * time.Millisecond)
--- a/jobs/scheduler/outstanding_test.go
+++ b/jobs/scheduler/outstanding_test.go
@@ -8,9 +8,9 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-var _ = Describe("a best-effort job that is over here", func() {
-	It("is told to others until its runs are, or are dead for certain", func() {
-		for _, told := range []bool{true, false} {
+var _ = Describe("a best-effort job that is over", func() {
+	It("is reported to other coordinators until its runs have ended or been written off", func() {
+		for _, reported := range []bool{true, false} {
 			f := newFixture()
 			f.worker("w1")
 			s := bestEffort(1)
@@ -21,7 +21,7 @@
 			Expect(f.core.HasBestEffort(s.ID)).To(BeFalse())
 			Expect(f.core.HasOutstandingRuns(s.ID)).To(BeTrue())
 			Expect(f.core.BestEffortOlderThan(f.now, 0)).To(Equal([]durable.JobID{s.ID}))
-			if told {
+			if reported {
 				f.end(ordered[0], wire.EndStopped)
 			} else {
 				f.pass(f.cfg.Core("dc").BestEffortWriteOff)
--- a/jobs/scheduler/scheduler_test.go
+++ b/jobs/scheduler/scheduler_test.go
@@ -26,15 +26,15 @@
 	epoch = 5
 )
 
-// fixture is a core that owns the partition of one job, with workers.
+// fixture is a core under test, with its clock and the state that its workers report.
 type fixture struct {
 	core     *scheduler.Core
 	cfg      config.Scheduler
 	now      time.Time
 	stamp    int64
-	starts   map[string]uint64 // newest StartRuns of each worker
-	failing  map[string]uint32 // what each worker says of its runs
-	slowness map[string]uint32
+	starts   map[string]uint64 // Seq of the latest StartRuns for each worker
+	failing  map[string]uint32 // Failing of each worker's status, in percent
+	slowness map[string]uint32 // Slowness of each worker's status, in percent
 }
 
 func newFixture() *fixture {
@@ -44,14 +44,16 @@
 	return f
 }
 
+// partition returns the partition of the job with id.
 func (f *fixture) partition() uint32 { return id.Partition(f.cfg.Partitions) }
 
-// owning gives the core its partition with what the store has of it.
+// owning makes the core the owner of the job's partition, with the stored jobs.
 func (f *fixture) owning(stored map[durable.JobID]*durable.Stored) *fixture {
 	f.core.Acquire(f.now, f.partition(), epoch, stored)
 	return f
 }
 
+// worker connects a worker with four free cores, which reports no runs.
 func (f *fixture) worker(name string) {
 	f.core.WorkerUp(f.now, name, "nadi")
 	f.status(name, 4000)
@@ -59,6 +61,7 @@
 	f.core.Confirmed(f.now, f.now)
 }
 
+// status reports what is free at a worker, in thousandths of a core.
 func (f *fixture) status(name string, free int64) {
 	f.stamp++
 	f.core.Status(f.now, name, &wire.WorkerStatus{
@@ -67,12 +70,13 @@
 	})
 }
 
+// pass lets the time pass at once and ticks.
 func (f *fixture) pass(d time.Duration) {
 	f.now = f.now.Add(d)
 	f.core.Tick(f.now)
 }
 
-// wait lets time pass in which the workers go on saying that they are free.
+// wait lets the time pass in steps, in which the workers go on reporting that they are free.
 func (f *fixture) wait(d time.Duration, workers ...string) {
 	const step = 50 * time.Millisecond
 	for end := f.now.Add(d); f.now.Before(end); {
@@ -83,6 +87,7 @@
 	}
 }
 
+// job returns a durable job.
 func job(steps ...durable.Step) *durable.Submission {
 	return &durable.Submission{
 		ID: id, Spec: "do it", Steps: steps,
@@ -90,22 +95,25 @@
 	}
 }
 
+// bestEffort returns a best-effort job of n tasks.
 func bestEffort(n uint32) *durable.Submission {
 	s := job(tasks(n))
 	s.BestEffort = true
 	return s
 }
 
+// tasks returns a step of n tasks, each of one core and 100 ms.
 func tasks(n uint32) durable.Step {
 	return durable.Step{Count: n, Need: durable.Resources{CPU: 1000, Memory: 10}, EstimateMS: 100}
 }
 
-// sent is a run that was ordered, and where.
+// sent is a run that was ordered, with the worker it was sent to.
 type sent struct {
 	worker string
 	order  wire.RunOrder
 }
 
+// orders returns the runs that are ordered by the effects.
 func (f *fixture) orders(e scheduler.Effects) []sent {
 	var out []sent
 	for _, s := range e.Sends {
@@ -119,7 +127,7 @@
 	return out
 }
 
-// needs returns what workers were told that runs take.
+// needs returns the needs of runs that are sent to workers by the effects.
 func needs(e scheduler.Effects) []wire.RunNeed {
 	var out []wire.RunNeed
 	for _, s := range e.Sends {
@@ -130,7 +138,8 @@
 	return out
 }
 
-func kept(e scheduler.Effects) []wire.RunRef {
+// acked returns the runs whose ends are acknowledged by the effects.
+func acked(e scheduler.Effects) []wire.RunRef {
 	var out []wire.RunRef
 	for _, s := range e.Sends {
 		if m, ok := s.Message.(*wire.EndsKept); ok {
@@ -140,11 +149,12 @@
 	return out
 }
 
+// end reports the end of a run.
 func (f *fixture) end(s sent, how wire.End) {
 	f.core.Ends(f.now, s.worker, &wire.RunEnds{Ends: []wire.RunEnd{{Ref: s.order.Ref, How: uint8(how), RunMS: 100}}})
 }
 
-// commit lets time pass until there is a commit, and says how it went.
+// commit lets time pass until there is a commit, and gives the core its result.
 func (f *fixture) commit(result scheduler.CommitResult) scheduler.Effects {
 	var commits []scheduler.Commit
 	for range 100 {
@@ -159,7 +169,7 @@
 	return f.core.Take(f.now)
 }
 
-// running submits the job and returns its runs.
+// running submits a durable job, has it stored, and returns the runs that are ordered.
 func (f *fixture) running(s *durable.Submission) []sent {
 	f.core.Submit(f.now, 1, s, 0)
 	e := f.commit(scheduler.CommitOK)
@@ -167,6 +177,7 @@
 	return f.orders(e)
 }
 
+// state returns the job's state as a caller sees it once our ownership is confirmed.
 func (f *fixture) state() durable.State {
 	f.core.State(f.now, 99, id, 0)
 	f.core.Confirmed(f.now, f.now)
@@ -181,8 +192,8 @@
 	return 0
 }
 
-var _ = Describe("a kept job", func() {
-	It("is acknowledged and started only when the store has it", func() {
+var _ = Describe("a durable job", func() {
+	It("is acknowledged and started only once it is in the store", func() {
 		f := newFixture().owning(nil)
 		f.worker("w1")
 		f.core.Submit(f.now, 1, job(tasks(2)), 0)
@@ -196,7 +207,7 @@
 		Expect(f.orders(e)).To(HaveLen(2))
 	})
 
-	It("that the store refused never runs, and the caller is told when to come back", func() {
+	It("that the store refused never runs, and the caller is told when to retry", func() {
 		f := newFixture().owning(nil)
 		f.worker("w1")
 		f.core.Submit(f.now, 1, job(tasks(1)), 0)
@@ -207,7 +218,7 @@
 		Expect(f.orders(f.core.Take(f.now))).To(BeEmpty())
 	})
 
-	It("whose commit has no answer is called neither kept nor refused", func() {
+	It("whose commit gets no answer is reported as unknown, neither stored nor refused", func() {
 		f := newFixture().owning(nil)
 		f.core.Submit(f.now, 1, job(tasks(1)), 0)
 		Expect(f.core.Take(f.now).Commits).To(HaveLen(1))
@@ -216,35 +227,35 @@
 		f.core.Submit(f.now, 2, job(tasks(1)), 0)
 		f.core.Committed(f.now, f.partition(), epoch, scheduler.CommitOK)
 		Expect(f.core.Take(f.now).Replies).To(ConsistOf(And(
-			HaveField("Call", scheduler.Call(2)), HaveField("Failure", failure.None))), "the copy sent again joins the first")
+			HaveField("Call", scheduler.Call(2)), HaveField("Failure", failure.None))), "the resent call joins the first")
 	})
 
-	It("sent again with other content is a mismatch", func() {
+	It("that is resent with other content is a mismatch", func() {
 		f := newFixture().owning(nil)
 		f.running(job(tasks(1)))
 		f.core.Submit(f.now, 2, job(tasks(2)), 0)
 		Expect(f.core.Take(f.now).Replies).To(ConsistOf(HaveField("Failure", failure.SubmissionMismatch)))
 	})
 
-	It("is shown as completed, and its ends are acknowledged, only when the store has it", func() {
+	It("is shown as completed, and has its ends acknowledged, only once that is in the store", func() {
 		f := newFixture().owning(nil)
 		f.worker("w1")
 		runs := f.running(job(tasks(1)))
 		f.end(runs[0], wire.EndDone)
 		Expect(f.state()).To(Equal(durable.Running))
-		Expect(kept(f.core.Take(f.now))).To(BeEmpty())
-		Expect(kept(f.commit(scheduler.CommitOK))).To(ConsistOf(runs[0].order.Ref))
+		Expect(acked(f.core.Take(f.now))).To(BeEmpty())
+		Expect(acked(f.commit(scheduler.CommitOK))).To(ConsistOf(runs[0].order.Ref))
 		Expect(f.state()).To(Equal(durable.Completed))
 	})
 
-	It("has no end acknowledged that is told again before it is kept", func() {
+	It("has no end acknowledged that is reported again before it is stored", func() {
 		f := newFixture().owning(nil)
 		f.worker("w1")
 		runs := f.running(job(tasks(2)))
 		f.end(runs[0], wire.EndDone)
 		f.end(runs[0], wire.EndDone)
-		Expect(kept(f.core.Take(f.now))).To(BeEmpty())
-		Expect(kept(f.commit(scheduler.CommitOK))).To(ContainElement(runs[0].order.Ref))
+		Expect(acked(f.core.Take(f.now))).To(BeEmpty())
+		Expect(acked(f.commit(scheduler.CommitOK))).To(ContainElement(runs[0].order.Ref))
 	})
 
 	It("starts a step only after those it depends on", func() {
@@ -262,7 +273,7 @@
 		Expect(next[0].order.Ref.Task.Step).To(Equal(uint32(1)))
 	})
 
-	It("fails after its attempts, of which only failed runs count, told once or twice", func() {
+	It("fails after its attempts, counting only failed runs, each once however often it is reported", func() {
 		f := newFixture().owning(nil)
 		f.worker("w1")
 		run := f.running(job(tasks(1)))[0]
@@ -280,7 +291,7 @@
 		Expect(f.state()).To(Equal(durable.Failed))
 	})
 
-	It("is not started again after a cancel, which is acknowledged when the store has it", func() {
+	It("is not started again after a cancellation, which is acknowledged once it is in the store", func() {
 		f := newFixture().owning(nil)
 		f.worker("w1")
 		run := f.running(job(tasks(1)))[0]
@@ -305,7 +316,7 @@
 		}}
 	}
 
-	It("starts nothing of an old job before all workers have told what they have", func() {
+	It("starts no tasks of a stored job before all workers have reported their runs", func() {
 		f := newFixture()
 		f.core.WorkerKnown(f.now, "w2")
 		f.owning(stored())
@@ -319,7 +330,7 @@
 		}
 	})
 
-	It("goes on without a worker that stays silent, once all that it had is dead", func() {
+	It("goes on without the report of a silent worker, once its runs have certainly ended", func() {
 		f := newFixture()
 		f.core.WorkerKnown(f.now, "w2")
 		f.owning(stored())
@@ -330,7 +341,7 @@
 		Expect(f.orders(f.core.Take(f.now))).To(HaveLen(2))
 	})
 
-	It("takes over what runs and what has ended", func() {
+	It("takes over running and ended runs", func() {
 		f := newFixture().owning(nil)
 		f.core.WorkerKnown(f.now, "w1")
 		f.core.Release(f.now, f.partition(), "test")
@@ -354,7 +365,7 @@
 		Expect(f.state()).To(Equal(durable.Completed))
 	})
 
-	It("counts a failed run that the former owner had not kept", func() {
+	It("counts a failed run that the earlier owner had not stored", func() {
 		f := newFixture().owning(stored())
 		f.core.WorkerUp(f.now, "w1", "nadi")
 		f.core.WorkerUp(f.now, "w2", "nadi")
@@ -370,13 +381,13 @@
 		Expect(f.state()).To(Equal(durable.Failed), "two of two attempts")
 	})
 
-	It("says that there is no such job only when the store has confirmed since that the partition is ours", func() {
+	It("reports a job as not found only after the store has confirmed its ownership since the call", func() {
 		f := newFixture().owning(nil)
 		replies := func() []scheduler.Reply { return f.core.Take(f.now).Replies }
 		f.core.State(f.now, 1, id, time.Second)
 		f.core.Cancel(f.now, 2, id)
 		f.core.Confirmed(f.now, f.now.Add(-time.Millisecond))
-		Expect(replies()).To(BeEmpty(), "that was before the calls")
+		Expect(replies()).To(BeEmpty(), "confirmed for a time before the calls")
 		f.core.Confirmed(f.now, f.now)
 		Expect(replies()).To(HaveEach(HaveField("Failure", failure.JobNotFound)))
 
@@ -390,7 +401,7 @@
 		Expect(replies()).To(ConsistOf(HaveField("Failure", failure.CommitUnknown)))
 	})
 
-	It("acts on nothing while its lease may be over", func() {
+	It("takes no calls while its lease may have expired", func() {
 		f := newFixture().owning(nil)
 		f.worker("w1")
 		f.core.Suspend(f.now, f.partition(), true)
@@ -398,7 +409,7 @@
 		Expect(f.core.Take(f.now).Replies).To(ConsistOf(HaveField("Failure", failure.NoOwner)))
 	})
 
-	It("says of no job that it goes on while its lease may be over, though the store had confirmed it", func() {
+	It("reports no job as unfinished while its lease may have expired, even after a confirmation", func() {
 		f := newFixture().owning(nil)
 		f.worker("w1")
 		f.running(job(tasks(1)))
@@ -411,7 +422,7 @@
 		Expect(f.core.Take(f.now).Replies).To(ConsistOf(HaveField("Failure", failure.NoOwner)))
 	})
 
-	It("gives all up when the store has seen a newer one", func() {
+	It("releases the partition when the store has seen a newer owner", func() {
 		f := newFixture().owning(nil)
 		f.core.Submit(f.now, 1, job(tasks(1)), 0)
 		e := f.commit(scheduler.CommitFenced)
@@ -422,7 +433,7 @@
 })
 
 var _ = Describe("an owner", func() {
-	beats := func(e scheduler.Effects) []*wire.OwnerHeartbeat {
+	heartbeats := func(e scheduler.Effects) []*wire.OwnerHeartbeat {
 		var out []*wire.OwnerHeartbeat
 		for _, s := range e.Sends {
 			if m, ok := s.Message.(*wire.OwnerHeartbeat); ok {
@@ -432,7 +443,7 @@
 		return out
 	}
 
-	It("orders at a new connection once the store has confirmed that it is one, and says so first", func() {
+	It("orders runs over a new connection only after the store confirms its ownership and a heartbeat says so", func() {
 		f := newFixture().owning(nil)
 		f.core.Confirmed(f.now, f.now)
 		f.now = f.now.Add(time.Millisecond)
@@ -441,18 +452,18 @@
 		f.core.Runs(f.now, "w1", &wire.PartitionRuns{Partition: f.partition(), Epoch: epoch})
 		e := f.core.Take(f.now)
 		Expect(e.Confirm).To(BeTrue())
-		Expect(beats(e)).To(ConsistOf(HaveField("Confirmed", false)))
+		Expect(heartbeats(e)).To(ConsistOf(HaveField("Confirmed", false)))
 		f.core.Submit(f.now, 1, job(tasks(1)), 0)
 		f.core.Take(f.now)
 		f.core.Committed(f.now, f.partition(), epoch, scheduler.CommitOK)
 		Expect(f.orders(f.core.Take(f.now))).To(BeEmpty())
 		f.core.Confirmed(f.now, f.now)
 		e = f.core.Take(f.now)
-		Expect(beats(e)).To(ConsistOf(HaveField("Confirmed", true)))
+		Expect(heartbeats(e)).To(ConsistOf(HaveField("Confirmed", true)))
 		Expect(f.orders(e)).To(HaveLen(1))
 	})
 
-	It("orders nothing once a worker has seen a later one, unless the store denies it", func() {
+	It("orders nothing once a worker has reported a later owner, until the store confirms it again", func() {
 		f := newFixture().owning(nil)
 		f.worker("w1")
 		f.now = f.now.Add(time.Millisecond)
@@ -468,8 +479,8 @@
 	})
 })
 
-var _ = Describe("a worker that is passed over", func() {
-	It("gets no new tasks, and what it has goes on", func() {
+var _ = Describe("an excluded worker", func() {
+	It("gets no new tasks, while its runs go on", func() {
 		f := newFixture().owning(nil)
 		f.worker("w1")
 		first := f.running(job(tasks(2)))
@@ -489,7 +500,7 @@
 		Expect(f.core.Busy("w1")).To(BeFalse())
 	})
 
-	It("is asked what it has of a partition with jobs, and not of one without", func() {
+	It("has to report its runs of a partition with jobs, but not of an empty one", func() {
 		f := newFixture()
 		f.core.WorkerUp(f.now, "w1", "nadi")
 		f.core.SetPreference("w1", scheduler.Excluded)
@@ -505,8 +516,8 @@
 	})
 })
 
-var _ = Describe("a worker's list", func() {
-	It("does not speak of orders that were sent after it was written", func() {
+var _ = Describe("a worker's report of its runs", func() {
+	It("does not cover runs that were ordered after it was written", func() {
 		f := newFixture().owning(nil)
 		f.worker("w1")
 		runs := f.running(job(tasks(1)))
@@ -514,12 +525,12 @@
 		f.core.Runs(f.now, "w1", &wire.PartitionRuns{Partition: f.partition(), Epoch: epoch, StartSeq: f.starts["w1"] - 1})
 		Expect(f.orders(f.core.Take(f.now))).To(BeEmpty())
 		f.core.Runs(f.now, "w1", &wire.PartitionRuns{Partition: f.partition(), Epoch: epoch, StartSeq: f.starts["w1"]})
-		Expect(f.orders(f.core.Take(f.now))).To(HaveLen(1), "now the run is absent for certain")
+		Expect(f.orders(f.core.Take(f.now))).To(HaveLen(1), "now the run is certainly absent")
 	})
 })
 
 var _ = Describe("a silent worker", func() {
-	It("is dialled anew, and its runs are started elsewhere only when they are dead", func() {
+	It("has its tasks started elsewhere only when its runs have certainly ended", func() {
 		f := newFixture().owning(nil)
 		f.worker("w1")
 		run := f.running(job(tasks(1)))[0]
@@ -533,8 +544,8 @@
 			if runs := f.orders(e); len(runs) > 0 {
 				Expect(runs[0].worker).To(Equal("w2"))
 				Expect(runs[0].order.Ref.Run).To(BeNumerically(">", run.order.Ref.Run))
-				dead := f.cfg.OwnerLease.D() + f.cfg.StopGrace.D() + f.cfg.BackendLease.D()
-				Expect(f.now.Sub(silentSince)).To(BeNumerically(">", dead))
+				writtenOff := f.cfg.OwnerLease.D() + f.cfg.StopGrace.D() + f.cfg.BackendLease.D()
+				Expect(f.now.Sub(silentSince)).To(BeNumerically(">", writtenOff))
 				return
 			}
 		}
@@ -543,7 +554,7 @@
 })
 
 var _ = Describe("a best-effort job", func() {
-	It("needs no store, and is answered with its end", func() {
+	It("is not stored, and is answered when it ends", func() {
 		f := newFixture()
 		f.worker("w1")
 		f.core.Submit(f.now, 1, bestEffort(1), 0)
@@ -557,7 +568,7 @@
 			HaveField("Failure", failure.None), HaveField("State", durable.Completed))))
 	})
 
-	It("sent again while it runs is the same job", func() {
+	It("that is resent while it runs is the same job", func() {
 		f := newFixture()
 		f.worker("w1")
 		f.core.Submit(f.now, 1, bestEffort(1), 0)
@@ -577,7 +588,7 @@
 		Expect(f.core.Take(f.now).Sends).To(ContainElement(HaveField("Message", BeAssignableToTypeOf(&wire.StopRuns{}))))
 	})
 
-	It("is refused at once, with when to come back, when it cannot begin in time", func() {
+	It("is refused at once, with a time to retry, when it cannot begin in time", func() {
 		f := newFixture()
 		f.worker("w1")
 		f.core.Submit(f.now, 1, bestEffort(1), 0)
@@ -595,7 +606,7 @@
 		Expect(refused[0].RetryAfter).To(BeNumerically(">", 0))
 	})
 
-	It("is told to come back when the work before it is done, where that takes long", func() {
+	It("is told to retry when the work before it will be done, if that takes long", func() {
 		f := newFixture()
 		f.worker("w1")
 		long := func(i int) *durable.Submission {
@@ -614,14 +625,14 @@
 		Expect(replies[0].RetryAfter).To(BeNumerically("~", 20*time.Second-3030*time.Millisecond, time.Millisecond))
 	})
 
-	It("is never refused while there is room", func() {
+	It("is not refused while all of it fits", func() {
 		f := newFixture()
 		f.worker("w1")
 		f.core.Submit(f.now, 1, bestEffort(4), 0)
 		Expect(f.core.Take(f.now).Replies).To(BeEmpty())
 	})
 
-	It("is refused when what is free is too little at every worker, however much it is together", func() {
+	It("is refused when no single worker has enough free, however much is free in total", func() {
 		f := newFixture()
 		for i := range 8 {
 			name := fmt.Sprintf("w%d", i)
@@ -644,7 +655,7 @@
 		f.core.Submit(f.now, 1, bestEffort(8), 0)
 		runs := f.orders(f.core.Take(f.now))
 		Expect(len(runs)).To(BeNumerically("<", 8))
-		f.pass(250 * time.Millisecond) // its due time is over, its answer still of use
+		f.pass(250 * time.Millisecond) // past its due time, but its answer is still of use
 		f.end(runs[0], wire.EndDone)
 		f.status("w1", 1000)
 		other := bestEffort(1)
@@ -657,7 +668,7 @@
 		Expect(next[0].order.Ref.Task.Job).To(Equal(id))
 	})
 
-	It("is refused at once when no worker has been reached for a while", func() {
+	It("is refused at once when no worker has been reachable for a while", func() {
 		f := newFixture()
 		f.worker("w1")
 		f.pass(time.Millisecond)
@@ -669,7 +680,7 @@
 		Expect(f.core.Take(f.now).Replies).To(ConsistOf(HaveField("Failure", failure.Overloaded)))
 	})
 
-	It("that cannot begin is given up while its caller can still try elsewhere", func() {
+	It("that cannot begin is refused while its caller can still retry elsewhere", func() {
 		f := newFixture()
 		f.core.Submit(f.now, 1, bestEffort(1), time.Second)
 		f.pass(300 * time.Millisecond)
@@ -678,13 +689,13 @@
 		Expect(f.core.Take(f.now).Replies).To(ConsistOf(HaveField("Failure", failure.Overloaded)))
 	})
 
-	It("that could only be late is refused as soon as that is known, so that others are in time", func() {
+	It("that can only be late is refused as soon as that is known, so that others are in time", func() {
 		f := newFixture()
 		f.worker("w1")
 		s := bestEffort(1) // 100 ms of work, an objective of 220 ms
 		f.status("w1", 4000)
 		f.core.Submit(f.now, 1, s, 0)
-		f.status("w1", 0) // others have taken the room
+		f.status("w1", 0) // other coordinators have taken the capacity
 		Expect(f.orders(f.core.Take(f.now))).To(BeEmpty())
 		f.pass(120 * time.Millisecond)
 		f.status("w1", 0)
@@ -693,7 +704,7 @@
 		Expect(f.core.Take(f.now).Replies).To(ConsistOf(HaveField("Failure", failure.Overloaded)))
 	})
 
-	It("that could only be late waits on while no worker takes tasks", func() {
+	It("that can only be late goes on waiting while no worker takes tasks", func() {
 		f := newFixture()
 		f.worker("w1")
 		f.status("w1", 0)
@@ -703,7 +714,7 @@
 		Expect(f.core.Take(f.now).Replies).To(BeEmpty())
 	})
 
-	It("whose tasks were all handed back has not begun: it is refused as not run, and yields to others", func() {
+	It("whose tasks were all handed back has not begun, and may still be refused", func() {
 		f := newFixture()
 		f.worker("w1")
 		f.core.Submit(f.now, 1, bestEffort(2), time.Second)
@@ -719,7 +730,7 @@
 		Expect(f.core.Take(f.now).Replies).To(ConsistOf(HaveField("Failure", failure.Overloaded)))
 	})
 
-	It("that has begun and is of no use any more is ended", func() {
+	It("that has begun is cancelled once its answer is of no use", func() {
 		f := newFixture()
 		f.worker("w1")
 		f.core.Submit(f.now, 1, bestEffort(8), 0)
@@ -728,7 +739,7 @@
 		Expect(f.core.Take(f.now).Replies).To(ConsistOf(HaveField("Failure", failure.DeadlineWhileRunning)))
 	})
 
-	It("asks a worker that is back what became of its runs", func() {
+	It("has its runs queried when their worker is connected again", func() {
 		f := newFixture()
 		f.worker("w1")
 		f.core.Submit(f.now, 1, bestEffort(2), 0)
@@ -739,10 +750,10 @@
 		f.starts["w1"] = 0
 		f.status("w1", 4000)
 		Expect(f.core.Take(f.now).Sends).To(ContainElement(HaveField("Message", BeAssignableToTypeOf(&wire.RunsQuery{}))))
-		stranger := wire.RunRef{Task: durable.TaskID{Job: id}, Run: runs[0].order.Ref.Run + 1}
-		f.core.Runs(f.now, "w1", &wire.PartitionRuns{Partition: wire.BestEffortRuns, Running: []wire.RunRef{runs[0].order.Ref, stranger}})
+		unwanted := wire.RunRef{Task: durable.TaskID{Job: id}, Run: runs[0].order.Ref.Run + 1}
+		f.core.Runs(f.now, "w1", &wire.PartitionRuns{Partition: wire.BestEffortRuns, Running: []wire.RunRef{runs[0].order.Ref, unwanted}})
 		e := f.core.Take(f.now)
-		Expect(needs(e)).To(Equal([]wire.RunNeed{{Ref: runs[0].order.Ref, Need: tasks(1).Need}}), "it may have found them")
+		Expect(needs(e)).To(Equal([]wire.RunNeed{{Ref: runs[0].order.Ref, Need: tasks(1).Need}}), "the worker may not know the needs")
 		again := f.orders(e)
 		Expect(again).To(HaveLen(1))
 		Expect(again[0].order.Ref.Task).To(Equal(runs[1].order.Ref.Task))
@@ -750,7 +761,7 @@
 })
 
 var _ = Describe("placement", func() {
-	It("prefers a home worker where a task fits, and lets no task wait at a worker", func() {
+	It("prefers a preferred worker while a task fits there, and lets no task wait at a worker", func() {
 		f := newFixture()
 		f.worker("home")
 		f.worker("shared")
@@ -765,14 +776,14 @@
 			for _, r := range f.orders(f.core.Take(f.now)) {
 				at[r.worker]++
 				if len(at) == 1 && at["home"] <= 2 {
-					Expect(r.worker).To(Equal("home"), "though there is less free")
+					Expect(r.worker).To(Equal("home"), "although less is free there")
 				}
 			}
 		}
 		Expect(at).To(Equal(map[string]int{"home": 2, "shared": 4}), "as many as fit")
 	})
 
-	It("keeps away from a worker that fails what others do", func() {
+	It("avoids a worker where runs fail that succeed elsewhere", func() {
 		f := newFixture()
 		f.worker("bad")
 		f.worker("good")
@@ -803,7 +814,7 @@
 		Expect(served["bad"]).To(BeNumerically("<", served["good"]/4))
 	})
 
-	It("sends one task a second to a worker that is far slower than its peers, until it is not", func() {
+	It("sends at most one task a second to a worker far slower than its peers, until it recovers", func() {
 		f := newFixture()
 		for _, name := range []string{"slow", "a", "b"} {
 			f.worker(name)
@@ -827,7 +838,7 @@
 		f.status("slow", 4000)
 		f.status("a", 4000)
 		f.status("b", 4000)
-		Expect(at(1)["slow"]).To(BeNumerically("<=", 1), "a probe at most")
+		Expect(at(1)["slow"]).To(BeNumerically("<=", 1), "at most one probe")
 		Expect(at(2)["slow"]).To(BeZero())
 		f.slowness["slow"] = 200
 		f.status("slow", 4000)
@@ -863,7 +874,7 @@
 		Expect(probes).To(BeNumerically("~", seconds/10, 1))
 	})
 
-	It("runs a task that has failed where runs fail least, though more is free elsewhere", func() {
+	It("retries a failed task where runs fail least, even if more is free elsewhere", func() {
 		f := newFixture()
 		f.worker("first")
 		f.worker("failing")
@@ -893,7 +904,7 @@
 		Expect(again[0].worker).To(Equal("sound"))
 	})
 
-	It("stops a run that takes far longer than it should, and starts it elsewhere", func() {
+	It("limits the time of a run, and restarts a straggler elsewhere with a longer limit", func() {
 		f := newFixture()
 		f.worker("w1")
 		s := job(tasks(1))
@@ -908,10 +919,10 @@
 		f.end(run, wire.EndStraggled)
 		again := f.orders(f.core.Take(f.now))
 		Expect(again[0].worker).To(Equal("w2"))
-		Expect(again[0].order.LimitMS).To(Equal(int64(750)), "it may be long indeed")
+		Expect(again[0].order.LimitMS).To(Equal(int64(750)), "the estimate may be wrong")
 	})
 
-	It("keeps to what a step requires", func() {
+	It("sends no task to a worker without the label that its step requires", func() {
 		f := newFixture()
 		f.worker("w1")
 		s := job(tasks(1))
--- a/jobs/scheduler/view_test.go
+++ b/jobs/scheduler/view_test.go
@@ -9,8 +9,8 @@
 	"github.com/lichenfall/lichenfall/jobs/durable"
 )
 
-var _ = Describe("what operators see of refusals", func() {
-	It("is how many there were of each queue in the last ten seconds, and no more", func() {
+var _ = Describe("the refusals shown to operators", func() {
+	It("are those of each queue in the last ten seconds", func() {
 		f := newFixture()
 		f.worker("w1")
 		f.status("w1", 0)
@@ -20,7 +20,7 @@
 			j.ID = durable.JobID([]string{"5c0e7a21d94b3600", "5c0e7a21d94b3601", "5c0e7a21d94b3602", "5c0e7a21d94b3603"}[n])
 			f.core.Submit(f.now, 1, j, 0)
 		}
-		refuse(0) // is taken: nothing is before it
+		refuse(0) // is admitted: no other job waits before it
 		refuse(1)
 		f.now = f.now.Add(6 * time.Second)
 		refuse(2)
