--- a/jobs/scheduler/decisions.go
+++ b/jobs/scheduler/decisions.go
@@ -17,7 +17,7 @@
 	RunOrdered          Decision = "run_ordered"           // sent to a worker
 	TaskHeld            Decision = "task_held"             // waits for a faster worker; it would be late at the free ones
 	RunEnded            Decision = "run_ended"             // reported by its worker
-	RunAbsent           Decision = "run_absent"            // the worker doesn't know the run; the task is queued again
+	RunAbsent           Decision = "run_absent"            // the worker doesn't know the run, which never began there
 	RunWrittenOff       Decision = "run_written_off"       // its worker is unreachable, its lease has certainly expired
 	RunTakenOver        Decision = "run_taken_over"        // a worker has the run, started by an earlier owner
 	WorkerUp            Decision = "worker_up"             // connected
@@ -26,7 +26,7 @@
 	WorkerWrittenOff    Decision = "worker_written_off"    // it never reported a partition's runs; its leases have expired
 	WorkerEjected       Decision = "worker_ejected"        // its runs are slow or fail: it gets only probes
 	WorkerRestored      Decision = "worker_restored"       // its runs are neither slow nor failing any more
-	RoomAsked           Decision = "room_asked"            // workers were sent what waits here for capacity
+	RoomAsked           Decision = "room_asked"            // workers were asked for capacity for what waits here
 	RoomWithdrawn       Decision = "room_withdrawn"        // nothing waits any more; the requests were withdrawn
 	RoomUsed            Decision = "room_used"             // a worker reported the requested capacity, and was sent runs
 	RoomUnused          Decision = "room_unused"           // it was sent none: nothing that waits here fits there now
@@ -36,7 +36,7 @@
 	PartitionReleased   Decision = "partition_released"    // another coordinator owns it, or will
 	PartitionSuspended  Decision = "partition_suspended"   // the lease may have expired, or is valid again
 	RecordInvalid       Decision = "record_invalid"        // a fault of the program: the record could not be encoded
-	jobPrefix                    = "job_"                  // job_completed, job_failed, job_cancelled: decided; shown once stored
+	jobPrefix                    = "job_"                  // job_completed, job_failed, job_cancelled: decided, not yet stored
 )
 
 // Measure names the figure of a Note in the log.
@@ -52,7 +52,7 @@
 	WorkersAsked    Measure = "workers_asked"    // workers that were sent a request, or its withdrawal
 	WorkersThere    Measure = "workers_there"    // connected workers in the data centre
 	RunsThere       Measure = "runs_there"       // this coordinator's runs at the worker
-	SlownessPercent Measure = "slowness_percent" // run times over the worker's baseline; Limit: an outlier's
+	SlownessPercent Measure = "slowness_percent" // run times over the worker's baseline; Limit is the bound of outliers
 	FailingPercent  Measure = "failing_percent"  // share of the latest runs that failed
 	OpenJobs        Measure = "open_jobs"        // jobs that are not final
 	PartitionNumber Measure = "partition"
--- a/jobs/scheduler/ends.go
+++ b/jobs/scheduler/ends.go
@@ -18,9 +18,9 @@
 	}
 }
 
-// handleEnd handles one end. If the run is the task's current one the task is freed and the end
-// applied; ends of earlier runs, of tasks that are done and of jobs that are over are mostly just
-// acknowledged.
+// handleEnd handles one end. It frees the task and applies the end, unless the job is over, the
+// task is done, or another run of it is with a worker: such an end is acknowledged, and matters
+// only if it is a crash or an earlier failure.
 func (c *Core) handleEnd(now time.Time, w *worker, e *wire.RunEnd) {
 	j := c.find(e.Ref.Task.Job)
 	if j == nil || j.state.Final() {
@@ -78,8 +78,9 @@
 	c.markChanged(now.Add(c.cfg.LazyCommit), t.job)
 }
 
-// handleEndOfClosedJob handles the end of a run whose job is over, or not here. The end no longer
-// matters to the job, but it is acknowledged only once the final state is in the store.
+// handleEndOfClosedJob handles the end of a run whose job is over or not here. Such an end no longer
+// matters to the job. It is acknowledged once the job's final state is in the store, at once if
+// the job is unknown, and not at all if another coordinator owns the partition.
 func (c *Core) handleEndOfClosedJob(now time.Time, w *worker, j *job, e *wire.RunEnd) {
 	c.outstandingRunEnded(e.Ref)
 	c.reportCrashOfClosedJob(now, e)
--- a/jobs/scheduler/evacuations_test.go
+++ b/jobs/scheduler/evacuations_test.go
@@ -112,7 +112,7 @@
 		Expect(f.orders(f.core.Take(f.now))).To(HaveLen(1))
 	})
 
-	It("is announced with the age of the reading, so that workers know the newest", func() {
+	It("is announced with the age of the reading, so that workers know how current it is", func() {
 		f.evacuate(2, "nadi")
 		f.core.Take(f.now)
 		f.pass(300 * time.Millisecond)
--- a/jobs/scheduler/job.go
+++ b/jobs/scheduler/job.go
@@ -29,7 +29,7 @@
 	uselessAt    time.Time     // an answer after it is of no use
 	abandonAt    time.Time     // a started job is cancelled after it; allows for underestimated work
 	startBy      time.Time     // a best-effort job that has not begun by then is refused
-	final        time.Time     // when the final state was stored
+	final        time.Time     // when the final state was stored, or read by a new owner
 
 	calls       []Call    // wait for the submission to be stored; of a best-effort job, for its end
 	cancels     []Call    // wait for the cancellation to be stored
--- a/jobs/scheduler/lookups.go
+++ b/jobs/scheduler/lookups.go
@@ -19,9 +19,9 @@
 }
 
 // deferLookup makes a call wait for Confirmed, at most for Settings.CallLimit (tickCallers).
-func (c *Core) deferLookup(now time.Time, call Call, id durable.JobID, again func(time.Time, Call, durable.JobID)) {
+func (c *Core) deferLookup(now time.Time, call Call, id durable.JobID, retry func(time.Time, Call, durable.JobID)) {
 	c.callers[call] = waitingCall{id, now}
-	c.pendingLookups = append(c.pendingLookups, pendingLookup{call: call, id: id, asked: now, retry: again})
+	c.pendingLookups = append(c.pendingLookups, pendingLookup{call: call, id: id, asked: now, retry: retry})
 }
 
 // Confirmed records that the store has answered a join which was sent at the time given: at that
--- a/jobs/scheduler/reports.go
+++ b/jobs/scheduler/reports.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// sendNeeds sends a worker the resources that those of the listed runs need that are ours. A
-// worker that found them at its backend server when its process started doesn't know them, and
+// sendNeeds sends a worker the resource needs of those listed runs that are ours. A worker that
+// found the runs at its backend server when its process started doesn't know what they need, and
 // starts no other runs until it does.
 func (c *Core) sendNeeds(w *worker, listed []wire.RunRef) {
 	m := &wire.RunNeeds{}
--- a/jobs/scheduler/watchers.go
+++ b/jobs/scheduler/watchers.go
@@ -14,9 +14,9 @@
 	until time.Time // when it is answered even if the job has not ended
 }
 
-// watch makes a call wait for the end of a job that is not final: if the job has begun up to
-// Settings.StateWait, and up to half of the caller's budget; else only for a confirmation of
-// our ownership (tickWatchers).
+// watch makes a call wait for the end of a job that is not final. If the job has begun it waits
+// for Settings.StateWait, but no longer than half of the caller's budget; else it waits only for a
+// confirmation of our ownership (see tickWatchers).
 func (c *Core) watch(now time.Time, call Call, j *job, budget time.Duration) {
 	until := now
 	if j.begun() {
--- a/jobs/scheduler/workers.go
+++ b/jobs/scheduler/workers.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// heartbeat sends a heartbeat, which renews our leases at the worker. Before the first status over a
-// connection it does nothing.
+// heartbeat sends a heartbeat, which renews our leases at the worker. It does nothing before the
+// first status over a connection.
 func (c *Core) heartbeat(now time.Time, w *worker) {
 	if !w.up || w.status.Stamp == 0 {
 		return
@@ -170,7 +170,8 @@
 	return w != nil && len(w.assigned) > 0
 }
 
-// SendFailed records that a message to the worker could not be sent. Its connection is dialled again.
+// SendFailed records that a message to the worker could not be sent. The worker counts as down
+// until its connection has been made anew.
 func (c *Core) SendFailed(now time.Time, name string) {
 	c.effects.Reconnect = append(c.effects.Reconnect, name)
 	c.WorkerDown(now, name)
