--- a/jobs/coordinator/writer.go
+++ b/jobs/coordinator/writer.go
@@ -12,19 +12,20 @@
 	"github.com/lichenfall/lichenfall/lib/loop"
 )
 
-// writer appends the commits of one partition, one at a time.
+// writer appends the commits of one partition to the store, one at a time.
 type writer struct {
 	work chan scheduler.Commit
 	stop context.CancelFunc
 }
 
 func (c *Coordinator) newWriter(partition uint32, epoch uint64) *writer {
-	ctx, cancel := context.WithCancel(c.halt)
+	ctx, cancel := context.WithCancel(c.ctx)
 	w := &writer{work: make(chan scheduler.Commit, 1), stop: cancel}
 	go c.write(ctx, w, partition, epoch)
 	return w
 }
 
+// write appends commits and posts their results until ctx ends.
 func (c *Coordinator) write(ctx context.Context, w *writer, partition uint32, epoch uint64) {
 	a := &appender{store: c.store, limit: c.cfg.Ownership.AppendLimit.D(), appending: store.NewAppendTracker(), log: c.log}
 	for {
@@ -40,22 +41,23 @@
 	}
 }
 
-// appender appends the commits of one partition under one epoch, each until
-// its fate is known.
+// appender appends the commits of one partition under one epoch. It repeats each append until its
+// outcome is known.
 type appender struct {
 	store     store.Store
-	limit     time.Duration // for one call
+	limit     time.Duration // timeout of one call
 	appending *store.AppendTracker
 	log       *logging.Log
 }
 
-// appendPause is the pause before an append without an answer is repeated. Some ten times what
-// an append takes.
+// appendPause is the pause before an append whose outcome is not known is repeated. It is about ten
+// times as long as an append takes.
 const appendPause = 40 * time.Millisecond
 
+// append returns the outcome of the commit; CommitLost also when ctx ends before it is known.
 func (a *appender) append(ctx context.Context, c scheduler.Commit) scheduler.CommitResult {
 	for ctx.Err() == nil {
-		err := a.once(ctx, c)
+		err := a.appendOnce(ctx, c)
 		switch a.appending.HandleResult(err) {
 		case store.AppendDone:
 			return scheduler.CommitOK
@@ -73,7 +75,8 @@
 	return scheduler.CommitLost
 }
 
-func (a *appender) once(ctx context.Context, c scheduler.Commit) error {
+// appendOnce calls the store once with the number of the current append.
+func (a *appender) appendOnce(ctx context.Context, c scheduler.Commit) error {
 	call, cancel := context.WithTimeout(ctx, a.limit)
 	defer cancel()
 	return a.store.Append(call, c.Partition, c.Epoch, a.appending.Number(), c.Records)
