--- a/jobs/scheduler/commits.go
+++ b/jobs/scheduler/commits.go
@@ -9,14 +9,15 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// batch is what is on its way to the store.
+// batch holds the jobs whose records are in the commit that is in flight.
 type batch struct {
 	submitted []*job
 	changed   []changedJob
 	forgotten []durable.JobID
 }
 
-// changedJob is a job whose progress is on its way.
+// changedJob is a job whose progress is in a commit, with the acknowledgements and the replies
+// to cancellations that are due once the commit succeeds.
 type changedJob struct {
 	job     *job
 	state   durable.State
@@ -24,25 +25,25 @@
 	cancels []Call
 }
 
-// cutCommits makes commits of what waits.
-func (c *Core) cutCommits(now time.Time) {
+// startCommits starts a commit for each partition whose pending records are due.
+func (c *Core) startCommits(now time.Time) {
 	for _, p := range ordered.Values(c.partitions) {
-		if p.inflight != nil || p.suspended || p.urgentBy.IsZero() || now.Before(p.urgentBy) || now.Before(p.notBefore) {
+		if p.inflight != nil || p.suspended || p.commitBy.IsZero() || now.Before(p.commitBy) || now.Before(p.notBefore) {
 			continue
 		}
-		c.cutCommit(now, p)
+		c.startCommit(now, p)
 	}
 }
 
-// draft is a commit that is being put together.
+// draft is a commit under construction.
 type draft struct {
 	commit Commit
 	batch  *batch
 	size   int // bytes of keys and values
 }
 
-// add puts a record into the draft.
-func (c *Core) add(d *draft, r durable.Record, err error) {
+// addRecord adds a record to the draft; one that could not be encoded is logged and left out.
+func (c *Core) addRecord(d *draft, r durable.Record, err error) {
 	if err != nil {
 		c.note(Note{What: RecordInvalid, Reason: err.Error()})
 		return
@@ -51,14 +52,15 @@
 	d.size += len(r.Key) + len(r.Value)
 }
 
-// cutCommit makes a commit of what waits in the partition, up to MaxBatch.
-func (c *Core) cutCommit(now time.Time, p *partition) {
+// startCommit sends a commit with the pending records of the partition. It adds no more once
+// the commit has reached MaxBatch bytes; the rest is due for the next commit at once.
+func (c *Core) startCommit(now time.Time, p *partition) {
 	d := &draft{commit: Commit{Partition: p.number, Epoch: p.epoch}, batch: &batch{}}
 	c.addSubmissions(p, d)
 	c.addProgress(p, d)
-	p.urgentBy = time.Time{}
+	p.commitBy = time.Time{}
 	if len(p.submitted) > 0 || len(p.changed) > 0 {
-		p.urgentBy = now
+		p.commitBy = now
 	}
 	if len(d.commit.Records) == 0 {
 		return
@@ -69,16 +71,19 @@
 	c.effects.Commits = append(c.effects.Commits, d.commit)
 }
 
+// addSubmissions adds the records of new jobs.
 func (c *Core) addSubmissions(p *partition, d *draft) {
 	for len(p.submitted) > 0 && d.size < c.cfg.MaxBatch {
 		j := p.submitted[0]
 		p.submitted = p.submitted[1:]
 		r, err := durable.SubmissionRecord(j.sub)
-		c.add(d, r, err)
+		c.addRecord(d, r, err)
 		d.batch.submitted = append(d.batch.submitted, j)
 	}
 }
 
+// addProgress adds the progress of changed jobs, and for final ones the removal of the
+// submission.
 func (c *Core) addProgress(p *partition, d *draft) {
 	for len(p.changed) > 0 && d.size < c.cfg.MaxBatch {
 		j := p.changed[0]
@@ -88,28 +93,28 @@
 			continue
 		}
 		r, err := durable.ProgressRecord(j.id, j.progress())
-		c.add(d, r, err)
+		c.addRecord(d, r, err)
 		if j.state.Final() {
-			c.add(d, durable.SubmissionTombstone(j.id), nil)
+			c.addRecord(d, durable.SubmissionTombstone(j.id), nil)
 		}
 		d.batch.changed = append(d.batch.changed, changedJob{j, j.state, j.acks, j.cancels})
 		j.acks, j.cancels = nil, nil
 	}
 }
 
-// Bounds of forgetting final states.
+// Limits on the removal of final states.
 const (
-	sweepEvery   = 5 * time.Second // between two looks at a partition's jobs
-	maxForgotten = 500             // records of one look
+	sweepInterval = 5 * time.Second // between two sweeps over the jobs of a partition
+	maxForgotten  = 500             // records removed in one sweep
 )
 
-// forgetFinal adds the removal of final states that have been kept long
-// enough; it rides on commits that are made anyway.
+// forgetFinal adds the removal of final states that are older than Settings.KeepFinal. It adds
+// only to commits with other records and starts none of its own.
 func (c *Core) forgetFinal(now time.Time, p *partition, d *draft) {
 	if now.Before(p.sweepAt) {
 		return
 	}
-	p.sweepAt = now.Add(sweepEvery)
+	p.sweepAt = now.Add(sweepInterval)
 	for _, id := range ordered.Keys(p.jobs) {
 		j := p.jobs[id]
 		if len(d.batch.forgotten) >= maxForgotten {
@@ -122,7 +127,8 @@
 	}
 }
 
-// Committed tells the core how the commit of a partition went.
+// Committed takes the result of the commit that is in flight for the partition. Unless that is
+// CommitOK or CommitRefused the partition is released. A result for another epoch is ignored.
 func (c *Core) Committed(now time.Time, number uint32, epoch uint64, result CommitResult) {
 	p := c.partitions[number]
 	if p == nil || p.epoch != epoch || p.inflight == nil {
@@ -132,16 +138,18 @@
 	p.inflight = nil
 	switch result {
 	case CommitOK:
-		c.committed(now, p, b)
+		c.commitSucceeded(now, p, b)
 	case CommitRefused:
-		c.refused(now, p, b)
+		c.commitRefused(now, p, b)
 	default:
 		c.effects.Fenced = true
 		c.Release(now, number, "fenced")
 	}
 }
 
-func (c *Core) committed(now time.Time, p *partition, b *batch) {
+// commitSucceeded accepts the submitted jobs of a stored batch, answers their callers and queues
+// their tasks, and records the progress that is now stored.
+func (c *Core) commitSucceeded(now time.Time, p *partition, b *batch) {
 	for _, j := range b.submitted {
 		j.accepted = true
 		for _, call := range j.calls {
@@ -156,14 +164,16 @@
 		}
 	}
 	for i := range b.changed {
-		c.progressKept(now, &b.changed[i])
+		c.progressStored(now, &b.changed[i])
 	}
 	for _, id := range b.forgotten {
 		delete(p.jobs, id)
 	}
 }
 
-func (c *Core) progressKept(now time.Time, ch *changedJob) {
+// progressStored publishes a state that is now in the store: it answers watchers and
+// cancellations, and acknowledges ends to their workers.
+func (c *Core) progressStored(now time.Time, ch *changedJob) {
 	ch.job.stored = ch.state
 	if ch.state.Final() {
 		ch.job.final = now
@@ -174,11 +184,12 @@
 	for _, call := range ch.cancels {
 		c.reply(Reply{Call: call, ID: ch.job.id, State: ch.state})
 	}
-	c.sendKept(ch.acks)
+	c.sendAcks(ch.acks)
 }
 
-// sendKept tells workers which ends they may forget.
-func (c *Core) sendKept(acks []ack) {
+// sendAcks acknowledges ends to the workers that reported them; these may then forget the ends.
+// Workers that are not connected are skipped.
+func (c *Core) sendAcks(acks []ack) {
 	byWorker := make(map[string][]wire.RunRef)
 	for _, a := range acks {
 		byWorker[a.worker] = append(byWorker[a.worker], a.ref)
@@ -191,9 +202,9 @@
 	}
 }
 
-// refused puts back what the store would not take. Jobs that were not
-// accepted yet are refused for good.
-func (c *Core) refused(now time.Time, p *partition, b *batch) {
+// commitRefused handles a batch that the store refused: it drops the submitted jobs and fails
+// their calls, and puts the changed jobs back for a commit after Settings.CommitRetry.
+func (c *Core) commitRefused(now time.Time, p *partition, b *batch) {
 	for _, j := range b.submitted {
 		delete(p.jobs, j.id)
 		for _, call := range append(j.calls, j.cancels...) {
@@ -211,7 +222,7 @@
 		}
 		j.acks = append(ch.acks, j.acks...)
 		j.cancels = append(ch.cancels, j.cancels...)
-		p.change(now, j)
+		p.markChanged(now, j)
 	}
 	p.notBefore = now.Add(c.cfg.CommitRetry)
 }
