--- a/jobs/scheduler/reports.go
+++ b/jobs/scheduler/reports.go
@@ -6,23 +6,23 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// AwaitingReports returns whether workers are still to tell what they have of a
-// partition.
+// AwaitingReports returns whether any worker still has to report what it runs of a partition.
 func (c *Core) AwaitingReports() bool {
 	for _, p := range c.partitions {
-		if len(p.asked) > 0 {
+		if len(p.awaiting) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Runs takes all that a worker knows of a partition, or of the best-effort runs
-// that we asked about.
+// Runs handles a worker's report of all its runs of a partition, or its reply to our query about
+// best-effort runs. Runs of the partition that are assigned to the worker and missing from the
+// report are queued again, unless they were ordered after the worker wrote it.
 func (c *Core) Runs(now time.Time, name string, m *wire.PartitionRuns) {
 	w := c.workers[name]
 	if w != nil && m.Partition == wire.BestEffortRuns {
-		c.queryAnswered(now, w, m)
+		c.handleQueryReply(now, w, m)
 		return
 	}
 	p := c.partitions[m.Partition]
@@ -32,30 +32,30 @@
 	known := make(map[wire.RunRef]bool, len(m.Running))
 	for _, ref := range m.Running {
 		known[ref] = true
-		c.found(now, w, p, ref)
+		c.reconcileRun(now, w, p, ref)
 	}
-	c.tellNeeds(w, m.Running)
+	c.sendNeeds(w, m.Running)
 	for _, e := range m.Ended {
 		known[e.Ref] = true
-		c.end(now, w, &e)
+		c.handleEnd(now, w, &e)
 	}
 	for _, t := range w.tasks() {
 		if t.startSeq > m.StartSeq {
-			continue // ordered after the worker wrote this
+			continue // ordered after the worker wrote the report
 		}
 		if !t.job.sub.BestEffort && t.id.Job.Partition(c.cfg.Partitions) == m.Partition && !known[t.ref()] {
-			c.lost(now, t, RunAbsent)
+			c.requeueLost(now, t, RunAbsent)
 		}
 	}
-	delete(p.asked, name)
-	if len(p.asked) == 0 {
-		c.settle(now, p)
+	delete(p.awaiting, name)
+	if len(p.awaiting) == 0 {
+		c.endReconciliation(now, p)
 	}
 }
 
-// found takes a run that a worker has: that of an earlier owner is taken over,
-// one that is not wanted is stopped.
-func (c *Core) found(now time.Time, w *worker, p *partition, ref wire.RunRef) {
+// reconcileRun compares a run that a worker reports with the job's state: a run that an earlier
+// owner started is taken over, one that is no longer wanted is stopped.
+func (c *Core) reconcileRun(now time.Time, w *worker, p *partition, ref wire.RunRef) {
 	j := p.jobs[ref.Task.Job]
 	if j == nil || j.state.Final() {
 		c.send(w.name, &wire.StopRuns{Runs: []wire.RunRef{ref}})
@@ -76,10 +76,10 @@
 	}
 }
 
-// tellNeeds tells a worker what those of the listed runs take that are ours: the
-// worker may have found them when its process started, and orders out nothing until
-// it knows.
-func (c *Core) tellNeeds(w *worker, listed []wire.RunRef) {
+// sendNeeds sends a worker the resource needs of those listed runs that are ours. A worker that
+// found the runs at its backend server when its process started doesn't know what they need, and
+// starts no other runs until it does.
+func (c *Core) sendNeeds(w *worker, listed []wire.RunRef) {
 	m := &wire.RunNeeds{}
 	for _, ref := range listed {
 		if t := c.runningTask(w, ref); t != nil {
@@ -91,7 +91,7 @@
 	}
 }
 
-// runningTask returns the task whose present run at the worker that is, or nil.
+// runningTask returns the task whose current run, at the worker, is ref; nil if there is none.
 func (c *Core) runningTask(w *worker, ref wire.RunRef) *task {
 	j := c.find(ref.Task.Job)
 	if j == nil {
@@ -104,9 +104,9 @@
 	return t
 }
 
-// queryRuns asks a worker what became of best-effort runs that were ordered before the
-// connection broke. It names all that are still wanted, and asks also if there is none: the
-// worker stops the others.
+// queryRuns asks a worker for the state of the best-effort runs that were ordered over earlier
+// connections. The query lists all runs that are still wanted, and is sent even if there are
+// none: the worker stops the others.
 func (c *Core) queryRuns(w *worker) {
 	m := &wire.RunsQuery{}
 	w.queried = nil
@@ -119,11 +119,11 @@
 	c.send(w.name, m)
 }
 
-// queryAnswered takes the worker's answer: what it does not know never runs. What it has
-// and is no longer wanted is stopped: a stop that was sent before the worker had found the
-// run, which an earlier process there had started, did nothing, and from now on our lease
-// keeps the run.
-func (c *Core) queryAnswered(now time.Time, w *worker, m *wire.PartitionRuns) {
+// handleQueryReply handles the reply to queryRuns. A run that the worker doesn't know will never
+// run, and its task is queued again. A run that is no longer wanted is stopped once more: an
+// earlier stop had no effect if it came before the worker found the run, which an earlier
+// process there had started, and from now on our lease would keep the run alive.
+func (c *Core) handleQueryReply(now time.Time, w *worker, m *wire.PartitionRuns) {
 	known := make(map[wire.RunRef]bool, len(m.Running)+len(m.Ended))
 	for _, ref := range m.Running {
 		known[ref] = true
@@ -131,30 +131,31 @@
 			c.send(w.name, &wire.StopRuns{Runs: []wire.RunRef{ref}})
 		}
 	}
-	c.tellNeeds(w, m.Running)
+	c.sendNeeds(w, m.Running)
 	for i := range m.Ended {
 		known[m.Ended[i].Ref] = true
-		c.end(now, w, &m.Ended[i])
+		c.handleEnd(now, w, &m.Ended[i])
 	}
 	queried := w.queried
 	w.queried = nil
 	for _, q := range queried {
 		if q.task.worker == w && q.task.ref() == q.ref && !known[q.ref] {
-			c.lost(now, q.task, RunAbsent)
+			c.requeueLost(now, q.task, RunAbsent)
 		}
 	}
 }
 
-// lost frees a task whose run has certainly ended, or never began, without a word
-// of how: it is ordered again.
-func (c *Core) lost(now time.Time, t *task, what Decision) {
+// requeueLost queues a task again whose run has certainly ended, or never began, without a report
+// of its end. The job counts as begun, since the run may have been at work.
+func (c *Core) requeueLost(now time.Time, t *task, what Decision) {
 	c.note(Note{What: what, Task: t.id.String(), Run: t.run, Worker: t.worker.name})
 	c.setBegun(now, t.job, t.job.assigned, true)
 	c.unassign(now, t)
 	c.enqueue(now, t)
 }
 
-// writeOff frees the tasks of a worker whose leases are over.
+// writeOff queues the tasks of an unreachable worker again once the leases of their runs have
+// certainly expired.
 func (c *Core) writeOff(now time.Time, w *worker) {
 	silent := now.Sub(w.heartbeatAt)
 	for _, t := range w.tasks() {
@@ -163,7 +164,7 @@
 			after = c.cfg.BestEffortWriteOff
 		}
 		if silent > after {
-			c.lost(now, t, RunWrittenOff)
+			c.requeueLost(now, t, RunWrittenOff)
 		}
 	}
 }
