--- a/jobs/room/bench_test.go
+++ b/jobs/room/bench_test.go
@@ -8,28 +8,29 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// BenchmarkShare shares the room of one end among twelve coordinators of three priorities
-// each, all of which wait, and takes the answer.
-func BenchmarkShare(b *testing.B) {
+// BenchmarkAllocate measures the work after the end of one run: the capacity that it frees is
+// allocated among twelve coordinators, each with waiting tasks of three priorities, and the
+// orders of the coordinators that were granted some are accepted.
+func BenchmarkAllocate(b *testing.B) {
 	f := newFixture()
-	ask := func() {
+	request := func() {
 		for i := range 12 {
 			var rows []wire.RoomWait
 			for p := range 3 {
 				rows = append(rows, waits(100, 2+p, int64(10*p+i), 1))
 				rows[p].Priority = int32(p)
 			}
-			f.ask(fmt.Sprint("c", i), rows...)
+			f.request(fmt.Sprint("c", i), rows...)
 		}
 	}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
 		if n%100 == 0 {
-			ask()
+			request()
 		}
 		f.free = cores(2)
 		f.pass(time.Millisecond)
-		for _, owner := range f.share() {
+		for _, owner := range f.allocate() {
 			f.table.WaitingElsewhere(f.now, owner)
 			f.use(owner, 2)
 		}
--- a/jobs/room/events.go
+++ b/jobs/room/events.go
@@ -1,34 +1,35 @@
 package room
 
-// EventKind is what an Event tells of.
+// EventKind says what has happened.
 type EventKind uint8
 
 // The kinds of events.
 const (
-	Granted            EventKind = iota // room for one task was granted
-	GrantUsed                           // orders were taken of an owner that had grants
-	GrantLapsed                         // the owner did not answer in time
-	OwnerDeprioritised                  // it let several lapse, and comes last for a while
+	Granted            EventKind = iota // capacity for one task was granted
+	GrantUsed                           // orders of an owner that had answered grants were accepted
+	GrantLapsed                         // the owner did not answer the grant in time
+	OwnerDeprioritised                  // the owner let several grants lapse, and ranks last for a while
 )
 
-// Event is something worth a line in the log.
+// Event is a decision of the table, for the caller's log and metrics.
 type Event struct {
 	What  EventKind
 	Owner string
 }
 
-// mostEvents is how many events are held for the caller: more than one look brings.
-const mostEvents = 1000
+// maxEvents bounds the events that are held for the caller. Fewer occur between two calls of
+// Events.
+const maxEvents = 1000
 
-// Events returns what has happened since the last call.
+// Events returns the events since the last call.
 func (t *Table) Events() []Event {
 	events := t.events
 	t.events = nil
 	return events
 }
 
-func (t *Table) event(what EventKind, owner string) {
-	if len(t.events) < mostEvents {
+func (t *Table) addEvent(what EventKind, owner string) {
+	if len(t.events) < maxEvents {
 		t.events = append(t.events, Event{what, owner})
 	}
 }
--- a/jobs/room/grants.go
+++ b/jobs/room/grants.go
@@ -8,37 +8,39 @@
 )
 
 const (
-	// passOver is how long later waits may go on while the first of all does not fit: a
-	// tenth of the time after which callers try again.
-	passOver = 100 * time.Millisecond
-	// mayLapse is how many times in a row an owner may let grants lapse.
-	mayLapse = 3
-	// setAsideLeast and setAsideMost are how long an owner comes last that lets them lapse:
-	// doubled each time. At the most it tries as often as callers do.
-	setAsideLeast = 100 * time.Millisecond
-	setAsideMost  = 1600 * time.Millisecond
+	// maxBypass is how long later tasks may be granted capacity while the earliest does not
+	// fit: a tenth of the time after which callers retry.
+	maxBypass = 100 * time.Millisecond
+	// maxLapses is the number of pauses in a row with lapsed grants at which an owner is
+	// deprioritised.
+	maxLapses = 3
+	// minLapsePenalty and maxLapsePenalty bound how long an owner ranks last after it let
+	// grants lapse; the time doubles with each further lapse. At the maximum the owner is
+	// granted capacity as often as callers retry.
+	minLapsePenalty = 100 * time.Millisecond
+	maxLapsePenalty = 1600 * time.Millisecond
 )
 
-// grant is room that is kept for one task of an owner.
+// grant is capacity that is held for one task of an owner.
 type grant struct {
 	owner    string
 	priority int32
 	need     durable.Resources
-	turn     time.Time
-	stamp    int64 // of the status that told of it; 0 while none has
+	deadline time.Time // virtual deadline of the task
+	stamp    int64     // of the status that advertised the grant; 0 before that
 	until    time.Time
 }
 
-// grant keeps room for the wait's next task.
-func (t *Table) grant(now time.Time, w *wait) {
-	t.grants = append(t.grants, &grant{owner: w.owner, priority: w.priority, need: w.need, turn: w.turn(), until: now.Add(t.cfg.GrantTTL)})
+// grant holds capacity for the next task of the group.
+func (t *Table) grant(now time.Time, w *waitingTasks) {
+	t.grants = append(t.grants, &grant{owner: w.owner, priority: w.priority, need: w.need, deadline: w.nextDeadline(), until: now.Add(t.cfg.GrantTTL)})
 	w.granted++
 	w.unfitSince = time.Time{}
-	t.event(Granted, w.owner)
+	t.addEvent(Granted, w.owner)
 }
 
-// granted returns what is granted to others than the owner.
-func (t *Table) granted(owner string) durable.Resources {
+// grantedToOthers returns the sum of the grants of all owners but the given one.
+func (t *Table) grantedToOthers(owner string) durable.Resources {
 	sum := durable.Resources{}
 	for _, g := range t.grants {
 		if g.owner != owner {
@@ -48,87 +50,89 @@
 	return sum
 }
 
-// endGrants ends the grants that are over.
-func (t *Table) endGrants(over func(g *grant) bool) {
-	t.grants = slices.DeleteFunc(t.grants, over)
+// removeGrants removes the grants that match.
+func (t *Table) removeGrants(matches func(g *grant) bool) {
+	t.grants = slices.DeleteFunc(t.grants, matches)
 }
 
-// lapse ends the grants that were not answered in time.
-func (t *Table) lapse(now time.Time) {
-	t.endGrants(func(g *grant) bool {
-		over := !now.Before(g.until)
-		if over {
-			t.lapsed(now, g)
+// expireGrants removes the grants that their owners did not answer in time.
+func (t *Table) expireGrants(now time.Time) {
+	t.removeGrants(func(g *grant) bool {
+		expired := !now.Before(g.until)
+		if expired {
+			t.noteLapse(now, g)
 		}
-		return over
+		return expired
 	})
 }
 
-// lapsed takes the end of a grant that its owner has not answered. One that lets them lapse
-// several times comes last for a while. What it was told of before the last time counts as
-// that time.
-func (t *Table) lapsed(now time.Time, g *grant) {
-	t.event(GrantLapsed, g.owner)
-	a := t.askers[g.owner]
-	if g.until.Add(-t.cfg.GrantTTL).Before(a.lapsedAt) {
+// noteLapse records that an owner let a grant lapse. An owner that does so maxLapses times in
+// a row ranks last for a while. A grant that was already standing at the previous lapse belongs
+// to the same pause of its owner, and does not count again.
+func (t *Table) noteLapse(now time.Time, g *grant) {
+	t.addEvent(GrantLapsed, g.owner)
+	r := t.requesters[g.owner]
+	if g.until.Add(-t.cfg.GrantTTL).Before(r.lapsedAt) {
 		return
 	}
-	a.lapsedAt = now
-	a.lapses++
-	if a.lapses >= mayLapse {
-		a.setAside = now.Add(setAsideFor(a.lapses - mayLapse))
-		t.event(OwnerDeprioritised, g.owner)
+	r.lapsedAt = now
+	r.lapses++
+	if r.lapses >= maxLapses {
+		r.deprioritisedUntil = now.Add(lapsePenalty(r.lapses - maxLapses))
+		t.addEvent(OwnerDeprioritised, g.owner)
 	}
 }
 
-// answered takes the answer of an owner to grants. Unless orders of it are taken with that,
-// it comes last for a moment: its tasks have gone elsewhere, or cannot be started here, and
-// if it was granted the same room again and again, nobody else would have any.
-func (a *asker) answered(now time.Time, moment time.Duration) {
-	a.lapses = 0
-	a.returned = now.Add(moment)
+// answered records that the requester has answered grants. Unless orders of it are accepted
+// with that answer, it ranks last for the penalty: its tasks have been started elsewhere or
+// cannot be started here, and if the same capacity was granted to it again and again, no other
+// coordinator would get any.
+func (r *requester) answered(now time.Time, penalty time.Duration) {
+	r.lapses = 0
+	r.unusedUntil = now.Add(penalty)
 }
 
-// setAsideFor returns for how long an owner comes last that was set aside so many times
-// before.
-func setAsideFor(before int) time.Duration {
-	pause := setAsideLeast
-	for i := 0; i < before && pause < setAsideMost; i++ {
-		pause *= 2
+// lapsePenalty returns how long an owner ranks last that has been deprioritised the given
+// number of times in a row before.
+func lapsePenalty(before int) time.Duration {
+	penalty := minLapsePenalty
+	for i := 0; i < before && penalty < maxLapsePenalty; i++ {
+		penalty *= 2
 	}
-	return pause
+	return penalty
 }
 
-// shrink ends grants until they fit what is free, those of the latest turns first, among
-// those that may be ended.
-func (t *Table) shrink(free durable.Resources, mayEnd func(g *grant) bool) {
-	for !t.granted("").Fits(free) {
+// revokeExcess removes grants until the rest fit the free capacity. Of those that mayRevoke
+// accepts it removes the ones with the latest virtual deadlines first.
+func (t *Table) revokeExcess(free durable.Resources, mayRevoke func(g *grant) bool) {
+	for !t.grantedToOthers("").Fits(free) {
 		var latest *grant
 		for _, g := range t.grants {
-			if mayEnd(g) && (latest == nil || g.turn.After(latest.turn)) {
+			if mayRevoke(g) && (latest == nil || g.deadline.After(latest.deadline)) {
 				latest = g
 			}
 		}
 		if latest == nil {
 			return
 		}
-		t.endGrants(func(g *grant) bool { return g == latest })
+		t.removeGrants(func(g *grant) bool { return g == latest })
 	}
 }
 
-// keep takes the first of all waits, which does not fit the rest. Once others have gone on
-// for long, the rest is kept until it fits, as far as it needs it.
-func (t *Table) keep(now time.Time, w *wait, rest durable.Resources) {
+// reserve holds back capacity for the earliest group, which does not fit the rest. Once later
+// tasks have bypassed it for maxBypass, as much of the rest as one of its tasks needs is
+// reserved until that task fits.
+func (t *Table) reserve(now time.Time, w *waitingTasks, rest durable.Resources) {
 	if w.unfitSince.IsZero() {
 		w.unfitSince = now
 	}
-	if now.Sub(w.unfitSince) < passOver {
+	if now.Sub(w.unfitSince) < maxBypass {
 		return
 	}
-	t.kept = least(w.need, rest.Max(durable.Resources{}))
+	t.reserved = componentMin(w.need, rest.Max(durable.Resources{}))
 }
 
-// least returns the smaller of each part.
-func least(a, b durable.Resources) durable.Resources {
+// componentMin returns the smaller of each component.
+func componentMin(a, b durable.Resources) durable.Resources {
 	return durable.Resources{CPU: min(a.CPU, b.CPU), Memory: min(a.Memory, b.Memory), GPU: min(a.GPU, b.GPU)}
 }
--- a/jobs/room/room.go
+++ b/jobs/room/room.go
@@ -1,12 +1,14 @@
-// Package room is the core that shares a worker's free room among the coordinators that ask
-// for it. While none asks, all are told of all that is free, and the first order wins. While
-// some ask, what is free is granted in the order of the turns of what waits, whoever asks:
-// the coordinator whose task comes first is told of the room, and for a moment nobody else
-// is. A grant is no start: an order is taken or refused as ever, and a grant that is not used
-// is over by itself.
+// Package room shares the free capacity of a worker's backend server (its "room" in the
+// settings and metrics) among the coordinators that request it. While no coordinator requests
+// any, all of the free capacity is advertised to every coordinator, and the first order gets
+// it. While some do, it is granted to waiting tasks in the order of their virtual deadlines,
+// whichever coordinator they wait at: the capacity is advertised only to the coordinator of the
+// earliest task, and for the lifetime of the grant to nobody else. A grant does not start a
+// run: orders are still accepted or refused one by one, and an unused grant expires.
 //
-// It owns the asks and the grants. It relies on its caller for the time, for what is free,
-// and for telling each coordinator what Free returns. It does no I/O and reads no clock.
+// It owns the requests and the grants. It relies on its caller for the time, for the free
+// capacity, and for sending each coordinator the amount that Available returns. It does no I/O
+// and reads no clock.
 package room
 
 import (
@@ -20,104 +22,110 @@
 
 // Settings of a Table.
 type Settings struct {
-	GrantTTL   time.Duration // how long room is kept for a coordinator that has been told of it
-	RequestTTL time.Duration // how long an ask stands that is not repeated
+	GrantTTL   time.Duration // how long a grant lasts after it was advertised to its owner
+	RequestTTL time.Duration // how long a request stands unless it is repeated
 }
 
-// Table holds the asks and the grants of one worker.
+// Table holds the requests and the grants of one worker.
 type Table struct {
-	cfg    Settings
-	whole  durable.Resources // of the backend server
-	askers map[string]*asker // those that have asked, by the names of their connections
-	grants []*grant          // in the order in which they were made
-	kept   durable.Resources // for the first wait, until it fits
-	events []Event
+	cfg        Settings
+	capacity   durable.Resources     // of the backend server when it is empty; zero while unknown
+	requesters map[string]*requester // by the names of their connections
+	grants     []*grant              // in the order in which they were made
+	reserved   durable.Resources     // held back until the earliest task, which does not fit yet, does
+	events     []Event
 }
 
-// New returns a table without asks.
+// New returns a table without requests.
 func New(cfg Settings) *Table {
-	return &Table{cfg: cfg, askers: make(map[string]*asker)}
+	return &Table{cfg: cfg, requesters: make(map[string]*requester)}
 }
 
-// SetCapacity tells the table of the whole room of the backend server: what needs more is passed
-// over. Before the first it is not known, and nothing is passed over for it.
-func (t *Table) SetCapacity(whole durable.Resources) { t.whole = whole }
+// SetCapacity sets the total capacity of the backend server. Tasks that need more are never
+// granted anything. Until the first call the capacity is unknown, and no task is passed over
+// for it.
+func (t *Table) SetCapacity(total durable.Resources) { t.capacity = total }
 
-// OrderReceived takes the word that the owner has sent an order: it has used what it could of the
-// grants that statuses up to the stamp told it of. Took follows if anything is taken.
+// OrderReceived ends the owner's grants that were advertised by statuses with a stamp up to
+// seen: the owner has handled those statuses before it sent the order or request, so it
+// has used what it could of these grants. The caller calls OrdersAccepted afterwards if it
+// accepts any of the orders.
 func (t *Table) OrderReceived(now time.Time, owner string, seen int64) {
-	a := t.askers[owner]
-	if a == nil {
+	r := t.requesters[owner]
+	if r == nil {
 		return
 	}
-	if !now.Before(a.returned) {
-		a.returned = time.Time{}
+	if !now.Before(r.unusedUntil) {
+		r.unusedUntil = time.Time{}
 	}
 	before := len(t.grants)
-	t.endGrants(func(g *grant) bool { return g.owner == owner && g.stamp != 0 && g.stamp <= seen })
+	t.removeGrants(func(g *grant) bool { return g.owner == owner && g.stamp != 0 && g.stamp <= seen })
 	if len(t.grants) < before {
-		a.answered(now, t.cfg.GrantTTL)
+		r.answered(now, t.cfg.GrantTTL)
 	}
 }
 
-// OrdersAccepted takes the word that orders of the owner have been taken, which leaves what is free.
-// They may have been on their way when its grants were made: then they used those, and
-// nobody else's.
+// OrdersAccepted records that orders of the owner have been accepted, after which the given
+// capacity is free. The owner may have sent them before it received its grants; they then use
+// up its own grants, and no other owner's.
 func (t *Table) OrdersAccepted(owner string, free durable.Resources) {
-	t.shrink(free, func(g *grant) bool { return g.owner == owner })
-	if a := t.askers[owner]; a != nil && !a.returned.IsZero() {
-		a.returned = time.Time{}
-		t.event(GrantUsed, owner)
+	t.revokeExcess(free, func(g *grant) bool { return g.owner == owner })
+	if r := t.requesters[owner]; r != nil && !r.unusedUntil.IsZero() {
+		r.unusedUntil = time.Time{}
+		t.addEvent(GrantUsed, owner)
 	}
 }
 
-// RemoveOwner forgets the owner's asks and grants: its connection is lost.
+// RemoveOwner deletes the requests and grants of an owner whose connection is lost.
 func (t *Table) RemoveOwner(owner string) {
-	t.endGrants(func(g *grant) bool { return g.owner == owner })
-	delete(t.askers, owner)
+	t.removeGrants(func(g *grant) bool { return g.owner == owner })
+	delete(t.requesters, owner)
 }
 
-// Allocate grants what is free and not granted, in the order of the turns of what waits, and
-// ends what is over. It returns the owners to whom a new Free is to be told.
+// Allocate expires grants and requests, and grants the capacity that is free and not yet
+// granted to waiting tasks in the order of their virtual deadlines. It returns the owners of
+// the new grants, sorted, each once: the caller sends them what Available now returns.
 func (t *Table) Allocate(now time.Time, free durable.Resources) []string {
-	t.lapse(now)
-	t.dropAsks(now)
-	t.shrink(free, func(*grant) bool { return true })
-	t.kept = durable.Resources{}
+	t.expireGrants(now)
+	t.expireRequests(now)
+	t.revokeExcess(free, func(*grant) bool { return true })
+	t.reserved = durable.Resources{}
 	if !t.Sharing() {
 		return nil
 	}
-	rest := free.Sub(t.granted(""))
-	var told []string
-	for w := t.next(now, rest); w != nil; w = t.next(now, rest) {
+	rest := free.Sub(t.grantedToOthers(""))
+	var owners []string
+	for w := t.nextToGrant(now, rest); w != nil; w = t.nextToGrant(now, rest) {
 		t.grant(now, w)
 		rest = rest.Sub(w.need)
-		told = append(told, w.owner)
+		owners = append(owners, w.owner)
 	}
-	slices.Sort(told)
-	return slices.Compact(told)
+	slices.Sort(owners)
+	return slices.Compact(owners)
 }
 
-// next returns the wait that is granted room next out of the rest: the first of all if it
-// fits, else the first of those that fit, out of what is not kept for that one; nil if there is
-// none.
-func (t *Table) next(now time.Time, rest durable.Resources) *wait {
-	first := t.first(now, func(*wait) bool { return true })
+// nextToGrant returns the group whose next task is granted capacity out of the rest: the
+// earliest of all groups if its task fits, else the earliest of those that fit into what is not
+// reserved for that one; nil if there is none.
+func (t *Table) nextToGrant(now time.Time, rest durable.Resources) *waitingTasks {
+	first := t.earliest(now, func(*waitingTasks) bool { return true })
 	if first == nil || first.need.Fits(rest) {
 		return first
 	}
-	t.keep(now, first, rest)
-	rest = rest.Sub(t.kept)
-	return t.first(now, func(w *wait) bool { return w.need.Fits(rest) })
+	t.reserve(now, first, rest)
+	rest = rest.Sub(t.reserved)
+	return t.earliest(now, func(w *waitingTasks) bool { return w.need.Fits(rest) })
 }
 
-// Available returns what the owner may use of what is free: all but what is granted to others,
-// and what is kept for what comes first.
+// Available returns how much of the free capacity the owner may use: all but what is granted to
+// others and what is reserved for the earliest task.
 func (t *Table) Available(owner string, free durable.Resources) durable.Resources {
-	return free.Sub(t.granted(owner)).Sub(t.kept)
+	return free.Sub(t.grantedToOthers(owner)).Sub(t.reserved)
 }
 
-// StatusSent notes that a status with the stamp tells the owner of what Free returns.
+// StatusSent records that a status with the stamp (above 0) advertises to the owner what
+// Available returns. Its grants that no earlier status has advertised get the stamp, and their
+// lifetime starts now.
 func (t *Table) StatusSent(now time.Time, owner string, stamp int64) {
 	for _, g := range t.grants {
 		if g.owner == owner && g.stamp == 0 {
@@ -127,28 +135,30 @@
 	}
 }
 
-// Sharing returns whether anybody asks, or room is still granted.
+// Sharing returns whether the free capacity is handed out by grants: a request or a grant is
+// standing.
 func (t *Table) Sharing() bool {
 	if len(t.grants) > 0 {
 		return true
 	}
-	for _, a := range t.askers {
-		if len(a.waits) > 0 {
+	for _, r := range t.requesters {
+		if len(r.waiting) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// WaitingElsewhere returns the work that others than the owner wait to start here, by priority.
+// WaitingElsewhere returns the work that waits to start here at coordinators other than the
+// owner and has not been granted capacity, in the order of priority and virtual deadline.
 func (t *Table) WaitingElsewhere(now time.Time, owner string) []wire.WaitingWork {
 	var rows []wire.WaitingWork
-	for name, a := range t.askers {
+	for name, r := range t.requesters {
 		if name == owner {
 			continue
 		}
-		for _, w := range a.waits {
-			if w.left() > 0 {
+		for _, w := range r.waiting {
+			if w.remaining() > 0 {
 				rows = merge(rows, w.work(now))
 			}
 		}
@@ -156,24 +166,26 @@
 	slices.SortFunc(rows, func(a, b wire.WaitingWork) int {
 		return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.FirstMS, b.FirstMS))
 	})
-	return rows[:min(len(rows), mostRows)]
+	return rows[:min(len(rows), maxRows)]
 }
 
 const (
-	// mostRows is how many rows tell what waits: of four priorities each what has begun, is
-	// on time and is overdue.
-	mostRows = 12
-	// farApart is how far the turns are apart of work that is not told in one row:
-	// coordinators put what has begun far before all else, and what is overdue far after.
-	farApart = 5 * time.Minute
+	// maxRows is the most rows that WaitingElsewhere returns: for each of four priorities one
+	// for jobs that have started, one for tasks on time and one for overdue tasks.
+	maxRows = 12
+	// maxMergeDistance is the greatest distance between the virtual deadlines of work that is
+	// merged into one row. Coordinators give jobs that have started deadlines far before all
+	// others, and overdue tasks deadlines far after them.
+	maxMergeDistance = 5 * time.Minute
 )
 
-// merge adds the work to the row of its priority that is near its turns.
+// merge adds the work to the row of the same priority with nearby virtual deadlines, or
+// appends it as a row of its own.
 func merge(rows []wire.WaitingWork, work wire.WaitingWork) []wire.WaitingWork {
 	for i := range rows {
 		r := &rows[i]
-		apart := max(r.FirstMS-work.FirstMS, work.FirstMS-r.FirstMS)
-		if r.Priority != work.Priority || apart > farApart.Milliseconds() {
+		distance := max(r.FirstMS-work.FirstMS, work.FirstMS-r.FirstMS)
+		if r.Priority != work.Priority || distance > maxMergeDistance.Milliseconds() {
 			continue
 		}
 		r.FirstMS = min(r.FirstMS, work.FirstMS)
--- a/jobs/room/room_test.go
+++ b/jobs/room/room_test.go
@@ -19,15 +19,15 @@
 	RunSpecs(t, "room")
 }
 
-// fixture is the table of a worker of ten cores, with the time and the asks of its
-// coordinators.
+// fixture is the table of a worker whose backend server has ten cores, with the time and the
+// state of its coordinators.
 type fixture struct {
 	table *room.Table
 	cfg   room.Settings
 	now   time.Time
 	free  durable.Resources
-	seq   uint64
-	seen  map[string]int64
+	seq   uint64           // of the last request
+	seen  map[string]int64 // stamp of the newest status that each coordinator has handled
 }
 
 func newFixture() *fixture {
@@ -40,7 +40,8 @@
 
 func cores(n int64) durable.Resources { return durable.Resources{CPU: 1000 * n} }
 
-// waits describes tasks of one size whose turns come from first on, gap milliseconds apart.
+// waits returns a row of a request for tasks of n cores each. Their virtual deadlines begin at
+// first, in milliseconds from now, and are gap milliseconds apart.
 func waits(tasks, n int, first, gap int64) wire.RoomWait {
 	return wire.RoomWait{
 		WaitingWork: wire.WaitingWork{FirstMS: first, LastMS: first + gap*int64(tasks-1), Work: int64(tasks*n) * 100},
@@ -49,28 +50,30 @@
 	}
 }
 
-// ask sends an ask of the owner's, which has handled what it was told.
-func (f *fixture) ask(owner string, rows ...wire.RoomWait) *wire.RoomAsk {
+// request sends a request of the owner and returns it.
+func (f *fixture) request(owner string, rows ...wire.RoomWait) *wire.RoomAsk {
 	f.seq++
 	m := &wire.RoomAsk{Seq: f.seq, Seen: f.seen[owner], Waits: rows}
 	f.table.Request(f.now, owner, m)
 	return m
 }
 
-// share shares what is free, and tells those who are granted some.
-func (f *fixture) share() []string {
-	told := f.table.Allocate(f.now, f.free)
-	for _, owner := range told {
+// allocate allocates the free capacity, sends a status to each owner that is granted some, and
+// returns these owners.
+func (f *fixture) allocate() []string {
+	owners := f.table.Allocate(f.now, f.free)
+	for _, owner := range owners {
 		f.table.StatusSent(f.now, owner, f.stamp())
 	}
-	return told
+	return owners
 }
 
 func (f *fixture) stamp() int64 { return f.now.UnixMicro() }
 
 func (f *fixture) pass(d time.Duration) { f.now = f.now.Add(d) }
 
-// use has the owner order tasks of so many cores with what it was told by now; they are taken.
+// use accepts an order of the owner for tasks of n cores. The owner has handled all statuses
+// up to now.
 func (f *fixture) use(owner string, n int64) {
 	f.seen[owner] = f.stamp()
 	f.table.OrderReceived(f.now, owner, f.seen[owner])
@@ -78,77 +81,77 @@
 	f.table.OrdersAccepted(owner, f.free)
 }
 
-// room returns how many cores the owner may use.
-func (f *fixture) room(owner string) int64 { return f.table.Available(owner, f.free).CPU / 1000 }
+// available returns how many cores the owner may use.
+func (f *fixture) available(owner string) int64 { return f.table.Available(owner, f.free).CPU / 1000 }
 
 var _ = Describe("room", func() {
-	It("is everybody's while nobody asks", func() {
+	It("is available to all while nobody requests it", func() {
 		f := newFixture()
-		Expect(f.share()).To(BeEmpty())
-		Expect(f.room("a")).To(Equal(int64(10)))
+		Expect(f.allocate()).To(BeEmpty())
+		Expect(f.available("a")).To(Equal(int64(10)))
 		Expect(f.table.Sharing()).To(BeFalse())
 		Expect(f.table.WaitingElsewhere(f.now, "a")).To(BeEmpty())
 	})
 
-	It("is granted by turn, whoever asks first", func() {
+	It("is granted by virtual deadline, not by the order of requests", func() {
 		f := newFixture()
 		f.free = cores(4)
-		f.ask("a", waits(3, 2, 30, 20))
-		f.ask("b", waits(3, 2, 20, 20))
-		Expect(f.share()).To(Equal([]string{"a", "b"}))
-		Expect(f.room("a")).To(Equal(int64(2)))
-		Expect(f.room("b")).To(Equal(int64(2)))
-		Expect(f.room("c")).To(BeZero())
+		f.request("a", waits(3, 2, 30, 20))
+		f.request("b", waits(3, 2, 20, 20))
+		Expect(f.allocate()).To(Equal([]string{"a", "b"}))
+		Expect(f.available("a")).To(Equal(int64(2)))
+		Expect(f.available("b")).To(Equal(int64(2)))
+		Expect(f.available("c")).To(BeZero())
 	})
 
-	It("is granted by the turns between the first and the last of each", func() {
+	It("is granted by deadlines interpolated between the first and the last of each request", func() {
 		f := newFixture()
 		f.free = cores(6)
-		f.ask("a", waits(11, 1, 0, 10)) // 0, 10, 20 ...
-		f.ask("b", waits(2, 1, 25, 40))
-		f.share()
-		Expect(f.room("a")).To(Equal(int64(5)))
-		Expect(f.room("b")).To(Equal(int64(1)))
+		f.request("a", waits(11, 1, 0, 10)) // 0, 10, 20 ...
+		f.request("b", waits(2, 1, 25, 40))
+		f.allocate()
+		Expect(f.available("a")).To(Equal(int64(5)))
+		Expect(f.available("b")).To(Equal(int64(1)))
 	})
 
-	It("is granted by turns that move with the time", func() {
+	It("is granted by deadlines that are relative to the arrival of the request", func() {
 		f := newFixture()
 		f.free = cores(1)
-		f.ask("a", waits(1, 1, 40, 0))
+		f.request("a", waits(1, 1, 40, 0))
 		f.pass(20 * time.Millisecond)
-		f.ask("b", waits(1, 1, 30, 0))
-		Expect(f.share()).To(Equal([]string{"a"}))
+		f.request("b", waits(1, 1, 30, 0))
+		Expect(f.allocate()).To(Equal([]string{"a"}))
 	})
 
-	It("that is left over is open to all", func() {
+	It("that is left over is available to all", func() {
 		f := newFixture()
 		f.free = cores(5)
-		f.ask("a", waits(1, 3, 0, 0))
-		f.ask("b", waits(1, 3, 10, 0))
-		f.share()
-		Expect(f.room("a")).To(Equal(int64(5)))
-		Expect(f.room("c")).To(Equal(int64(2)))
+		f.request("a", waits(1, 3, 0, 0))
+		f.request("b", waits(1, 3, 10, 0))
+		f.allocate()
+		Expect(f.available("a")).To(Equal(int64(5)))
+		Expect(f.available("c")).To(Equal(int64(2)))
 	})
 
-	It("goes to the next once its owner has used what it could", func() {
+	It("goes to the next owner once the first has used what it could", func() {
 		f := newFixture()
 		f.free = cores(4)
-		f.ask("a", waits(2, 2, 0, 0))
-		f.ask("b", waits(2, 2, 10, 0))
-		Expect(f.share()).To(Equal([]string{"a"}))
+		f.request("a", waits(2, 2, 0, 0))
+		f.request("b", waits(2, 2, 10, 0))
+		Expect(f.allocate()).To(Equal([]string{"a"}))
 		f.use("a", 2)
-		Expect(f.share()).To(Equal([]string{"b"}))
-		Expect(f.room("a")).To(BeZero())
+		Expect(f.allocate()).To(Equal([]string{"b"}))
+		Expect(f.available("a")).To(BeZero())
 	})
 
-	It("is told to others as work that waits, by priority", func() {
+	It("is reported to others with the work that waits for it, by priority", func() {
 		f := newFixture()
 		f.free = cores(2)
-		f.ask("a", waits(4, 1, 10, 10))
+		f.request("a", waits(4, 1, 10, 10))
 		second := waits(2, 1, 5, 10)
 		second.Priority = 1
-		f.ask("b", waits(2, 1, 100, 50), second)
-		f.share()
+		f.request("b", waits(2, 1, 100, 50), second)
+		f.allocate()
 		Expect(f.table.WaitingElsewhere(f.now, "b")).To(Equal([]wire.WaitingWork{{FirstMS: 20, LastMS: 40, Work: 300}}))
 		Expect(f.table.WaitingElsewhere(f.now, "c")).To(Equal([]wire.WaitingWork{
 			{FirstMS: 20, LastMS: 150, Work: 500}, {Priority: 1, FirstMS: 15, LastMS: 15, Work: 100},
@@ -157,21 +160,21 @@
 })
 
 var _ = Describe("a grant", func() {
-	// held is a table whose two cores are granted to a, while b waits behind.
-	held := func() *fixture {
+	// granted returns a table whose two free cores are granted to a, while b waits behind it.
+	granted := func() *fixture {
 		f := newFixture()
 		f.free = cores(2)
-		f.ask("a", waits(9, 2, 0, 1))
-		f.ask("b", waits(9, 2, 500, 1))
-		Expect(f.share()).To(Equal([]string{"a"}))
+		f.request("a", waits(9, 2, 0, 1))
+		f.request("b", waits(9, 2, 500, 1))
+		Expect(f.allocate()).To(Equal([]string{"a"}))
 		return f
 	}
 
-	It("tells what has begun and what is overdue apart from what is on time", func() {
+	It("reports started and overdue work apart from work on time", func() {
 		f := newFixture()
 		const far = 20 * 60 * 1000
 		for _, first := range []int64{-far, 30, 40, far} {
-			f.ask(fmt.Sprint("of ", first), waits(1, 1, first, 0))
+			f.request(fmt.Sprint("of ", first), waits(1, 1, first, 0))
 		}
 		Expect(f.table.WaitingElsewhere(f.now, "a")).To(HaveExactElements(
 			HaveField("FirstMS", int64(-far)),
@@ -179,242 +182,243 @@
 			HaveField("FirstMS", int64(far))))
 	})
 
-	It("ends with the connection of its owner", func() {
-		f := held()
+	It("ends when the connection of its owner is lost", func() {
+		f := granted()
 		f.table.RemoveOwner("a")
-		Expect(f.share()).To(Equal([]string{"b"}))
+		Expect(f.allocate()).To(Equal([]string{"b"}))
 	})
 
-	It("that is lost ends by itself", func() {
-		f := held()
+	It("expires when the status that advertises it is lost", func() {
+		f := granted()
 		f.pass(f.cfg.GrantTTL - time.Millisecond)
-		Expect(f.share()).To(BeEmpty())
+		Expect(f.allocate()).To(BeEmpty())
 		f.pass(time.Millisecond)
-		f.ask("a")
-		Expect(f.share()).To(Equal([]string{"b"}))
+		f.request("a")
+		Expect(f.allocate()).To(Equal([]string{"b"}))
 	})
 
-	It("ends when its owner asks anew, having seen it", func() {
-		f := held()
+	It("ends when its owner has seen it and sends another request", func() {
+		f := granted()
 		f.seen["a"] = f.stamp()
-		f.ask("a", waits(1, 2, 900, 0))
-		Expect(f.share()).To(Equal([]string{"b"}))
+		f.request("a", waits(1, 2, 900, 0))
+		Expect(f.allocate()).To(Equal([]string{"b"}))
 	})
 
-	It("ends with the withdrawal of its ask, also unseen", func() {
-		f := held()
-		f.ask("a")
-		Expect(f.share()).To(Equal([]string{"b"}))
+	It("ends when its owner withdraws the request, even without having seen the grant", func() {
+		f := granted()
+		f.request("a")
+		Expect(f.allocate()).To(Equal([]string{"b"}))
 	})
 
-	It("is not ended by word of an earlier status, late or twice", func() {
-		f := held()
+	It("is not ended by an order that acknowledges an earlier status, late or twice", func() {
+		f := granted()
 		f.table.OrderReceived(f.now, "a", f.stamp()-1)
 		f.table.OrderReceived(f.now, "a", f.stamp()-1)
 		f.table.OrderReceived(f.now, "b", f.stamp())
-		Expect(f.share()).To(BeEmpty())
-		Expect(f.room("b")).To(BeZero())
+		Expect(f.allocate()).To(BeEmpty())
+		Expect(f.available("b")).To(BeZero())
 	})
 
-	It("is not ended by word of a status that came before it was told", func() {
+	It("is not ended by an acknowledged status from before it was advertised", func() {
 		f := newFixture()
-		f.ask("a", waits(5, 2, 0, 0))
+		f.request("a", waits(5, 2, 0, 0))
 		f.table.Allocate(f.now, f.free)
 		f.table.OrderReceived(f.now, "a", f.stamp()-1)
-		Expect(f.room("b")).To(BeZero())
+		Expect(f.available("b")).To(BeZero())
 	})
 
-	It("that its owner has not seen counts against its next ask", func() {
-		f := held()
+	It("that its owner has not seen counts against its next request", func() {
+		f := granted()
 		f.free = cores(6)
-		f.ask("a", waits(2, 2, 0, 1))
-		f.share()
-		Expect(f.room("a")).To(Equal(int64(4)))
-		Expect(f.room("b")).To(Equal(int64(2)))
+		f.request("a", waits(2, 2, 0, 1))
+		f.allocate()
+		Expect(f.available("a")).To(Equal(int64(4)))
+		Expect(f.available("b")).To(Equal(int64(2)))
 	})
 
-	It("is used by an order of its owner's that was on its way, and by no other's", func() {
+	It("is used up by an order that its owner had already sent, and by no other owner's", func() {
 		f := newFixture()
 		f.free = cores(4)
-		f.ask("a", waits(1, 2, 0, 0))
-		f.ask("b", waits(1, 2, 10, 0))
-		f.share()
+		f.request("a", waits(1, 2, 0, 0))
+		f.request("b", waits(1, 2, 10, 0))
+		f.allocate()
 		f.free = cores(2)
 		f.table.OrdersAccepted("a", f.free)
-		f.share()
-		Expect(f.room("a")).To(BeZero())
-		Expect(f.room("b")).To(Equal(int64(2)))
+		f.allocate()
+		Expect(f.available("a")).To(BeZero())
+		Expect(f.available("b")).To(Equal(int64(2)))
 	})
 
-	It("of the latest turn goes first when there is less room, and all when there is none", func() {
+	It("of the latest deadline is revoked first when capacity shrinks, and all when there is none", func() {
 		f := newFixture()
-		f.ask("a", waits(2, 3, 10, 30))
-		f.ask("b", waits(1, 3, 20, 0))
-		f.share()
+		f.request("a", waits(2, 3, 10, 30))
+		f.request("b", waits(1, 3, 20, 0))
+		f.allocate()
 		f.free = cores(7)
-		f.share()
-		Expect(f.room("a")).To(Equal(int64(4)))
-		Expect(f.room("b")).To(Equal(int64(4)))
-		f.share()
+		f.allocate()
+		Expect(f.available("a")).To(Equal(int64(4)))
+		Expect(f.available("b")).To(Equal(int64(4)))
+		f.allocate()
 		f.free = durable.Resources{}
-		Expect(f.share()).To(BeEmpty())
+		Expect(f.allocate()).To(BeEmpty())
 		Expect(f.table.Available("a", cores(7))).To(Equal(cores(7)))
 	})
 })
 
 var _ = Describe("a coordinator that pauses", func() {
-	// lapses lets what a was granted lapse, while b answers, and has both ask again.
-	lapses := func(f *fixture) []string {
-		told := f.share()
+	// lapse lets the grants of a lapse, while b answers its own, and sends requests of both
+	// again. It returns the owners that had been granted capacity.
+	lapse := func(f *fixture) []string {
+		owners := f.allocate()
 		f.use("b", 0)
 		f.pass(f.cfg.GrantTTL)
-		f.ask("a", waits(1, 2, -100, 0))
-		f.ask("b", waits(1, 2, 500, 0))
-		return told
+		f.request("a", waits(1, 2, -100, 0))
+		f.request("b", waits(1, 2, 500, 0))
+		return owners
 	}
 
-	It("comes last for a while, each time for longer, until it answers in time", func() {
+	It("ranks last for a while, longer each time, until it answers in time", func() {
 		f := newFixture()
 		f.free = cores(2)
-		f.ask("a", waits(1, 2, -100, 0))
-		f.ask("b", waits(1, 2, 500, 0))
+		f.request("a", waits(1, 2, -100, 0))
+		f.request("b", waits(1, 2, 500, 0))
 		for range 3 {
-			Expect(lapses(f)).To(Equal([]string{"a"}))
+			Expect(lapse(f)).To(Equal([]string{"a"}))
 		}
 		var times []int
 		for range 7 {
 			n := 0
-			for told := lapses(f); told[0] == "b"; told = lapses(f) {
+			for owners := lapse(f); owners[0] == "b"; owners = lapse(f) {
 				n++
 			}
 			times = append(times, n)
 		}
-		Expect(times).To(Equal([]int{7, 14, 27, 54, 107, 107, 107}), "grants to b between two tries of a")
-		for told := f.share(); told[0] == "b"; told = f.share() {
+		Expect(times).To(Equal([]int{7, 14, 27, 54, 107, 107, 107}), "grants to b between two grants to a")
+		for owners := f.allocate(); owners[0] == "b"; owners = f.allocate() {
 			f.use("b", 0)
 			f.pass(f.cfg.GrantTTL)
-			f.ask("a", waits(1, 2, -100, 0))
-			f.ask("b", waits(1, 2, 500, 0))
+			f.request("a", waits(1, 2, -100, 0))
+			f.request("b", waits(1, 2, 500, 0))
 		}
 		f.use("a", 0)
 		f.pass(time.Millisecond)
-		f.ask("a", waits(1, 2, -100, 0))
+		f.request("a", waits(1, 2, -100, 0))
 		for range 3 {
-			Expect(lapses(f)).To(Equal([]string{"a"}))
+			Expect(lapse(f)).To(Equal([]string{"a"}))
 		}
-		Expect(lapses(f)).To(Equal([]string{"b"}))
+		Expect(lapse(f)).To(Equal([]string{"b"}))
 	})
 
-	It("does not come last for one pause, of whatever many grants", func() {
+	It("does not rank last for a single pause, however many grants lapse in it", func() {
 		f := newFixture()
-		f.ask("a", waits(10, 2, 0, 0))
-		f.share()
+		f.request("a", waits(10, 2, 0, 0))
+		f.allocate()
 		for range 4 {
 			f.free = f.free.Add(cores(1))
 			f.pass(4 * time.Millisecond)
-			f.share()
+			f.allocate()
 		}
 		f.seen["a"] = f.stamp()
-		f.ask("a", waits(1, 2, 0, 0))
-		Expect(f.share()).To(ContainElement("a"))
+		f.request("a", waits(1, 2, 0, 0))
+		Expect(f.allocate()).To(ContainElement("a"))
 	})
 
-	It("asks for nothing after its ask is over", func() {
+	It("has no standing request once its request has expired", func() {
 		f := newFixture()
-		f.ask("a", waits(1, 11, 0, 0))
+		f.request("a", waits(1, 11, 0, 0))
 		Expect(f.table.Sharing()).To(BeTrue())
 		f.pass(f.cfg.RequestTTL)
-		f.share()
+		f.allocate()
 		Expect(f.table.Sharing()).To(BeFalse())
 	})
 })
 
-var _ = Describe("a coordinator that uses nothing of what it is granted", func() {
-	It("comes last for a moment, so that the room is not its own for ever", func() {
+var _ = Describe("a coordinator that does not use its grants", func() {
+	It("ranks last for a moment, so that others get the capacity too", func() {
 		f := newFixture()
 		f.free = cores(2)
 		var granted []string
 		for range 20 {
-			f.ask("a", waits(9, 2, -100, 0))
-			f.ask("b", waits(9, 2, 500, 0))
-			told := f.share()
-			granted = append(granted, told...)
-			if told[0] == "b" {
+			f.request("a", waits(9, 2, -100, 0))
+			f.request("b", waits(9, 2, 500, 0))
+			owners := f.allocate()
+			granted = append(granted, owners...)
+			if owners[0] == "b" {
 				f.use("b", 0)
 			}
-			f.seen[told[0]] = f.stamp()
+			f.seen[owners[0]] = f.stamp()
 			f.pass(4 * time.Millisecond)
 		}
 		Expect(granted[:8]).To(Equal([]string{"a", "b", "b", "b", "b", "a", "b", "b"}))
 	})
 
-	It("is not said to have used it by an order that comes later", func() {
+	It("is not recorded as having used it when it orders later", func() {
 		f := newFixture()
-		f.ask("a", waits(1, 2, 0, 0))
-		f.share()
+		f.request("a", waits(1, 2, 0, 0))
+		f.allocate()
 		f.table.OrderReceived(f.now, "a", f.stamp())
 		f.pass(f.cfg.GrantTTL)
 		f.use("a", 2)
 		Expect(f.table.Events()).To(Equal([]room.Event{{What: room.Granted, Owner: "a"}}))
 	})
 
-	It("is told of it still where nobody else asks", func() {
+	It("is still granted it when nobody else requests any", func() {
 		f := newFixture()
 		f.free = cores(2)
 		for range 20 {
-			f.ask("a", waits(1, 2, 0, 0))
-			Expect(f.share()).To(Equal([]string{"a"}))
+			f.request("a", waits(1, 2, 0, 0))
+			Expect(f.allocate()).To(Equal([]string{"a"}))
 			f.seen["a"] = f.stamp()
 			f.pass(4 * time.Millisecond)
 		}
 	})
 })
 
-var _ = Describe("an ask", func() {
-	It("that comes twice changes nothing", func() {
+var _ = Describe("a request", func() {
+	It("that arrives twice changes nothing", func() {
 		f := newFixture()
 		f.free = cores(1)
-		m := f.ask("a", waits(2, 1, 0, 0))
-		f.share()
+		m := f.request("a", waits(2, 1, 0, 0))
+		f.allocate()
 		f.use("a", 1)
 		f.table.Request(f.now, "a", m)
 		f.free = cores(10)
-		f.share()
-		Expect(f.room("b")).To(Equal(int64(9)))
+		f.allocate()
+		Expect(f.available("b")).To(Equal(int64(9)))
 	})
 
-	It("that is late, behind a newer one or its withdrawal, changes nothing", func() {
+	It("that arrives after a newer one or after its withdrawal changes nothing", func() {
 		f := newFixture()
-		late := f.ask("a", waits(3, 2, 0, 0))
-		f.ask("a", waits(1, 1, 0, 0))
-		f.table.Request(f.now, "a", late)
-		f.share()
-		Expect(f.room("b")).To(Equal(int64(9)))
-		f.ask("a")
-		f.table.Request(f.now, "a", late)
+		older := f.request("a", waits(3, 2, 0, 0))
+		f.request("a", waits(1, 1, 0, 0))
+		f.table.Request(f.now, "a", older)
+		f.allocate()
+		Expect(f.available("b")).To(Equal(int64(9)))
+		f.request("a")
+		f.table.Request(f.now, "a", older)
 		Expect(f.table.Sharing()).To(BeFalse())
 	})
 
-	It("for more than the whole server blocks nobody", func() {
+	It("for more than the backend server has blocks nobody", func() {
 		f := newFixture()
-		f.ask("a", waits(1, 11, -500, 0))
-		f.ask("b", waits(10, 1, 0, 0))
+		f.request("a", waits(1, 11, -500, 0))
+		f.request("b", waits(10, 1, 0, 0))
 		for range 20 {
 			f.pass(10 * time.Millisecond)
-			f.ask("a", waits(1, 11, -500, 0))
-			f.share()
+			f.request("a", waits(1, 11, -500, 0))
+			f.allocate()
 		}
-		Expect(f.room("b")).To(Equal(int64(10)))
+		Expect(f.available("b")).To(Equal(int64(10)))
 	})
 
-	It("for much is not passed over for ever", func() {
+	It("for much capacity is not bypassed forever", func() {
 		f := newFixture()
 		f.free = cores(2)
 		granted := 0
 		for ; granted == 0 && f.now.Before(time.Unix(1001, 0)); f.pass(10 * time.Millisecond) {
-			f.ask("a", waits(1, 8, -100, 0))
-			f.ask("b", waits(9, 1, 0, 0))
-			for _, owner := range f.share() {
+			f.request("a", waits(1, 8, -100, 0))
+			f.request("b", waits(9, 1, 0, 0))
+			for _, owner := range f.allocate() {
 				if owner == "a" {
 					granted++
 				}
@@ -422,22 +426,22 @@
 			if f.table.Available("b", f.free).CPU > 0 {
 				f.use("b", 1)
 			}
-			f.free = f.free.Add(cores(1)) // an end
+			f.free = f.free.Add(cores(1)) // a run has ended
 		}
 		Expect(granted).To(Equal(1))
 		Expect(f.now.Sub(time.Unix(1000, 0))).To(BeNumerically("<", 250*time.Millisecond))
 	})
 
-	It("of odd figures is bounded", func() {
+	It("with values out of range is bounded", func() {
 		f := newFixture()
 		odd := wire.RoomWait{WaitingWork: wire.WaitingWork{FirstMS: -1 << 62, LastMS: 1 << 62, Work: -5}, Tasks: 1 << 31}
 		negative := odd
 		negative.Need = durable.Resources{CPU: -1000, Memory: 1}
 		f.free.Memory = 1 << 40
-		f.ask("a", odd, negative)
+		f.request("a", odd, negative)
 		f.table.SetCapacity(f.free)
-		f.share()
-		Expect(f.room("b")).To(Equal(int64(10)))
+		f.allocate()
+		Expect(f.available("b")).To(Equal(int64(10)))
 		Expect(f.table.WaitingElsewhere(f.now, "b")).To(BeEmpty())
 	})
 })
