--- a/jobs/runtable/outcomes.go
+++ b/jobs/runtable/outcomes.go
@@ -37,7 +37,7 @@
 // ran takes how long a run took, or would have.
 func (o *outcomes) ran(now time.Time, r *run, took time.Duration) {
 	if r.measured() {
-		o.speed.Ended(now, r.ratio(took))
+		o.speed.RunEnded(now, r.ratio(took))
 	}
 }
 
--- a/jobs/runtable/status.go
+++ b/jobs/runtable/status.go
@@ -50,7 +50,7 @@
 
 func (t *Table) status(now time.Time, name string, o *owner, slowness uint32) *wire.WorkerStatus {
 	s := &wire.WorkerStatus{
-		TimeFactor:   inPercent(t.outcomes.speed.Factor()),
+		TimeFactor:   inPercent(t.outcomes.speed.TimeFactor()),
 		Slowness:     slowness,
 		Failing:      inPercent(t.outcomes.failing),
 		Stamp:        t.stamp(now),
--- a/jobs/runtable/toldspeed.go
+++ b/jobs/runtable/toldspeed.go
@@ -19,7 +19,7 @@
 // and when it has changed.
 func (t *Table) tellSpeed(now time.Time) {
 	told := &t.outcomes.told
-	factor := inPercent(t.outcomes.speed.Factor())
+	factor := inPercent(t.outcomes.speed.TimeFactor())
 	if factor == 0 || factor == told.factor {
 		return
 	}
--- a/jobs/runtable/view.go
+++ b/jobs/runtable/view.go
@@ -31,7 +31,7 @@
 		Ready:        t.canStart(),
 		Silent:       t.silent,
 		Evacuated:    t.evacuated,
-		TimeFactor:   inPercent(t.outcomes.speed.Factor()),
+		TimeFactor:   inPercent(t.outcomes.speed.TimeFactor()),
 		Slowness:     inPercent(t.slownessNow(now)),
 		Failing:      inPercent(t.outcomes.failing),
 		Capacity:     t.identity.Capacity.CPU,
--- a/jobs/scheduler/unequal_test.go
+++ b/jobs/scheduler/unequal_test.go
@@ -97,7 +97,7 @@
 	}
 	p.core.Status(p.now, workerName(i), &wire.WorkerStatus{
 		Stamp: 1, Ready: true, StartSeq: w.seq, Free: durable.Resources{CPU: w.free, Memory: 1 << 20},
-		TimeFactor: uint32(100 * w.meter.Factor()), Slowness: uint32(100 * w.meter.Slowness(running)),
+		TimeFactor: uint32(100 * w.meter.TimeFactor()), Slowness: uint32(100 * w.meter.Slowness(running)),
 		Identity: &wire.BackendIdentity{Instance: fmt.Sprintf("%s@%d", workerName(i), p.lives), Service: "s", Capacity: durable.Resources{CPU: unequalCapacity, Memory: 1 << 20}},
 	})
 }
@@ -148,7 +148,7 @@
 			return false
 		}
 		w.free += r.order.Need.CPU
-		w.meter.Ended(p.now, r.ratio(expected))
+		w.meter.RunEnded(p.now, r.ratio(expected))
 		p.core.Ends(p.now, workerName(i), &wire.RunEnds{Ends: []wire.RunEnd{{Ref: r.order.Ref, How: uint8(how), RunMS: ran.Milliseconds()}}})
 		return true
 	})
@@ -204,7 +204,7 @@
 		}
 		for i := range p.workers {
 			w := &p.workers[i]
-			if got := w.meter.Factor(); math.Abs(got/w.factor-1) > 0.1 {
+			if got := w.meter.TimeFactor(); math.Abs(got/w.factor-1) > 0.1 {
 				t.Errorf("seed %d: the time factor of %s is %.2f, want about %.1f", seed, workerName(i), got, w.factor)
 			}
 		}
@@ -256,8 +256,8 @@
 	}
 	p.play(10 * time.Second)
 	for i := range p.workers {
-		if w := &p.workers[i]; math.Abs(w.meter.Factor()/w.factor-1) > 0.15 {
-			t.Errorf("the time factor of %s is %.2f, want about %.1f", workerName(i), w.meter.Factor(), w.factor)
+		if w := &p.workers[i]; math.Abs(w.meter.TimeFactor()/w.factor-1) > 0.15 {
+			t.Errorf("the time factor of %s is %.2f, want about %.1f", workerName(i), w.meter.TimeFactor(), w.factor)
 		}
 	}
 	if len(p.ejected) > 0 {
--- a/jobs/speed/speed.go
+++ b/jobs/speed/speed.go
@@ -37,8 +37,8 @@
 // Runs returns how many runs have ended.
 func (m *Meter) Runs() uint64 { return m.runs }
 
-// Ended takes a run that has ended; ratio is its time over its estimate, above 0.
-func (m *Meter) Ended(now time.Time, ratio float64) {
+// RunEnded takes a run that has ended; ratio is its time over its estimate, above 0.
+func (m *Meter) RunEnded(now time.Time, ratio float64) {
 	m.runs++
 	x := logarithm(ratio)
 	knew := m.usual.known()
@@ -78,8 +78,8 @@
 	}
 }
 
-// Factor returns the usual time of a run over its estimate; 0 while it is not known.
-func (m *Meter) Factor() float64 {
+// TimeFactor returns the usual time of a run over its estimate; 0 while it is not known.
+func (m *Meter) TimeFactor() float64 {
 	if !m.usual.known() {
 		return 0
 	}
--- a/jobs/speed/speed_test.go
+++ b/jobs/speed/speed_test.go
@@ -42,7 +42,7 @@
 func (s *server) run(n int, perS float64) {
 	for range n {
 		s.now = s.now.Add(time.Duration(float64(time.Second) / perS))
-		s.meter.Ended(s.now, s.ratio())
+		s.meter.RunEnded(s.now, s.ratio())
 	}
 }
 
@@ -55,7 +55,7 @@
 func within(servers []*server, error float64) int {
 	n := 0
 	for _, s := range servers {
-		if math.Abs(s.meter.Factor()/s.factor-1) <= error {
+		if math.Abs(s.meter.TimeFactor()/s.factor-1) <= error {
 			n++
 		}
 	}
@@ -74,7 +74,7 @@
 	servers := manyServers(300)
 	for _, s := range servers {
 		s.run(15, perS)
-		if s.meter.Factor() != 0 {
+		if s.meter.TimeFactor() != 0 {
 			t.Fatal("15 runs are too few to know")
 		}
 		s.run(15, perS)
@@ -119,7 +119,7 @@
 		seen, lost, again := 0, 0, 0
 		for _, s := range manyServers(99) {
 			s.run(400, perS)
-			usual := s.meter.Factor()
+			usual := s.meter.TimeFactor()
 			s.sick = sick
 			if s.until(perS, perS, isEjected) {
 				seen++
@@ -127,7 +127,7 @@
 			if s.until(15, 1, isRestored) { // it has probes alone for 15 s
 				lost++
 			}
-			if moved := s.meter.Factor() / usual; math.Abs(moved-1) > 0.05 {
+			if moved := s.meter.TimeFactor() / usual; math.Abs(moved-1) > 0.05 {
 				t.Errorf("%v times slow for 15 s: the usual speed moved by a factor of %.2f", sick, moved)
 			}
 			s.sick = 1
@@ -187,7 +187,7 @@
 		if tc.follows {
 			want = tc.to
 		}
-		if got := s.meter.Factor(); math.Abs(got/want-1) > 0.2 {
+		if got := s.meter.TimeFactor(); math.Abs(got/want-1) > 0.2 {
 			t.Errorf("%s: usual time %.2f, want %.2f", tc.name, got, want)
 		}
 		if tc.follows && s.slowness() > 1.6 {
@@ -198,8 +198,8 @@
 
 func TestNothingKnown(t *testing.T) {
 	s := newServer(3, 1)
-	if s.meter.Factor() != 0 || s.slowness() != 1 {
-		t.Errorf("a new life has time factor %v and slowness %v", s.meter.Factor(), s.slowness())
+	if s.meter.TimeFactor() != 0 || s.slowness() != 1 {
+		t.Errorf("a new life has time factor %v and slowness %v", s.meter.TimeFactor(), s.slowness())
 	}
 	s.sick = 5
 	s.run(15, perS)
@@ -207,17 +207,17 @@
 		t.Errorf("slow from its start, and called %.2f before its usual speed is known", s.slowness())
 	}
 	s.run(15, perS)
-	if s.slowness() > 1.6 || s.meter.Factor() < 4 {
-		t.Errorf("a slow machine by all its runs is called slowed: %.2f, usual %.2f", s.slowness(), s.meter.Factor())
+	if s.slowness() > 1.6 || s.meter.TimeFactor() < 4 {
+		t.Errorf("a slow machine by all its runs is called slowed: %.2f, usual %.2f", s.slowness(), s.meter.TimeFactor())
 	}
 }
 
 func TestRunsOfNoTime(t *testing.T) {
 	m := speed.New()
 	for i := range 40 {
-		m.Ended(time.Unix(int64(i), 0), 0)
+		m.RunEnded(time.Unix(int64(i), 0), 0)
 	}
-	if f := m.Factor(); math.IsNaN(f) || math.IsInf(f, 0) || f <= 0 {
+	if f := m.TimeFactor(); math.IsNaN(f) || math.IsInf(f, 0) || f <= 0 {
 		t.Errorf("time factor %v", f)
 	}
 }
