--- a/jobs/registration/registration.go
+++ b/jobs/registration/registration.go
@@ -85,7 +85,7 @@
 	if !k.recalled {
 		k.awaitWord(ctx)
 	}
-	if k.found && m.Same(&k.member) {
+	if k.found && m.Equal(&k.member) {
 		k.log.Info("registered_before", zap.String("address", m.Address))
 		return
 	}
--- a/jobs/store/store.go
+++ b/jobs/store/store.go
@@ -67,12 +67,12 @@
 	return Member{}, false
 }
 
-// Same returns whether the two say the same.
-func (m *Member) Same(o *Member) bool {
+// Equal returns whether the two say the same.
+func (m *Member) Equal(o *Member) bool {
 	if m.Address != o.Address || m.Role != o.Role || m.DataCentre != o.DataCentre || (m.Backend == nil) != (o.Backend == nil) {
 		return false
 	}
-	return m.Backend == nil || m.Backend.same(o.Backend)
+	return m.Backend == nil || m.Backend.equal(o.Backend)
 }
 
 // Backend is what a worker last knew of its backend server, for the next
@@ -86,7 +86,7 @@
 	Labels   []string
 }
 
-func (b *Backend) same(o *Backend) bool {
+func (b *Backend) equal(o *Backend) bool {
 	return b.Instance == o.Instance && b.Born == o.Born && b.Service == o.Service && b.Ready == o.Ready &&
 		b.Capacity == o.Capacity && slices.Equal(b.Labels, o.Labels)
 }
