--- a/jobs/worker/events.go
+++ b/jobs/worker/events.go
@@ -12,14 +12,14 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// event is what another goroutine tells the control goroutine, which applies it.
+// event is posted to the control goroutine, which applies it.
 type event interface {
 	apply(w *Worker, now time.Time)
 }
 
 func (w *Worker) handle(now time.Time, e event) { e.apply(w, now) }
 
-// ownerUp says that a coordinator has connected.
+// ownerUp is posted when a coordinator has connected.
 type ownerUp struct{ conn *peer.Conn }
 
 func (e ownerUp) apply(w *Worker, now time.Time) {
@@ -28,7 +28,7 @@
 	w.log.Info("coordinator_up", zap.String("peer", e.conn.Peer().Address))
 }
 
-// ownerDown says that a coordinator's connection is lost.
+// ownerDown is posted when the connection of a coordinator is lost.
 type ownerDown struct{ conn *peer.Conn }
 
 func (e ownerDown) apply(w *Worker, now time.Time) {
@@ -37,13 +37,13 @@
 	w.log.Info("coordinator_down", zap.String("peer", e.conn.Peer().Address))
 }
 
-// ownerSaid is a message of a coordinator.
-type ownerSaid struct {
+// ownerMessage is a message from a coordinator.
+type ownerMessage struct {
 	conn    *peer.Conn
 	message wire.Message
 }
 
-func (e ownerSaid) apply(w *Worker, now time.Time) {
+func (e ownerMessage) apply(w *Worker, now time.Time) {
 	from := e.conn.Name
 	switch m := e.message.(type) {
 	case *wire.OwnerHeartbeat:
@@ -61,73 +61,76 @@
 	case *wire.EndsKept:
 		w.table.AcknowledgeEnds(now, from, m)
 	case *wire.RecordedBackend:
-		w.takeRecorded(now, m)
+		w.handleRecorded(now, m)
 	}
 }
 
-// backendReported is what the backend server says of itself without being asked.
+// backendReported is a report that the backend server sent on its own, such as a heartbeat.
 type backendReported struct{ report runtable.Report }
 
 func (e backendReported) apply(w *Worker, now time.Time) {
-	w.followIdentity(func() { w.table.Reported(now, e.report) })
+	w.trackIdentity(func() { w.table.Reported(now, e.report) })
 }
 
-// backendDeregistered is the word of a life of the backend server that it ends.
-type backendDeregistered struct{ life runtable.Incarnation }
+// backendDeregistered is posted when an incarnation of the backend server announces that it
+// ends.
+type backendDeregistered struct{ incarnation runtable.Incarnation }
 
 func (e backendDeregistered) apply(w *Worker, now time.Time) {
-	w.log.Info("backend_deregistered", zap.Stringer("instance", e.life))
-	w.followIdentity(func() { w.table.Deregistered(now, e.life) })
+	w.log.Info("backend_deregistered", zap.Stringer("instance", e.incarnation))
+	w.trackIdentity(func() { w.table.Deregistered(now, e.incarnation) })
 }
 
-// backendAsked is the answer to the question whether the backend server is the life
-// that the call names.
-type backendAsked struct {
+// probeAnswered is the result of a probe, which checks whether the backend server is the
+// incarnation that the call names.
+type probeAnswered struct {
 	call   runtable.RenewCall
 	result runtable.RenewResult
 }
 
-func (e backendAsked) apply(w *Worker, now time.Time) {
-	w.followIdentity(func() { w.table.ProbeAnswered(now, e.call, e.result) })
+func (e probeAnswered) apply(w *Worker, now time.Time) {
+	w.trackIdentity(func() { w.table.ProbeAnswered(now, e.call, e.result) })
 }
 
-// backendFound names the life of a backend server that was there before us. What it says of
-// itself goes before.
-type backendFound struct{ life runtable.Incarnation }
+// backendIdentified is the incarnation of a backend server that was running before this
+// process started. It is ignored if the backend server has sent a report in the meantime.
+type backendIdentified struct{ incarnation runtable.Incarnation }
 
-func (e backendFound) apply(w *Worker, now time.Time) {
+func (e backendIdentified) apply(w *Worker, now time.Time) {
 	if w.table.Identity().Instance != "" {
 		return
 	}
-	w.followIdentity(func() {
-		w.table.Identify(now, runtable.Identity{Instance: e.life.Instance, Born: e.life.Born})
+	w.trackIdentity(func() {
+		w.table.Identify(now, runtable.Identity{Instance: e.incarnation.Instance, Born: e.incarnation.Born})
 	})
-	w.useRecorded(now)
+	w.applyRecorded(now)
 }
 
-// takeRecorded takes a coordinator's word of what the store has of the backend server.
-func (w *Worker) takeRecorded(now time.Time, m *wire.RecordedBackend) {
+// handleRecorded handles a coordinator's report of what the store has recorded of the backend
+// server.
+func (w *Worker) handleRecorded(now time.Time, m *wire.RecordedBackend) {
 	w.recorded = &store.Backend{Instance: m.Instance, Born: m.Born, Service: m.Service, Ready: m.Ready, Capacity: m.Capacity, Labels: m.Labels}
 	w.registrar.Report(w.member(w.recorded))
-	w.useRecorded(now)
+	w.applyRecorded(now)
 }
 
-// useRecorded uses what the store has of a life of which only the name is known, so that
-// the backend server is used before its next heartbeat.
-func (w *Worker) useRecorded(now time.Time) {
+// applyRecorded passes the recorded state of the backend server to the table if only the name
+// of the current incarnation is known and the record is of that incarnation. The backend server
+// is then used before its next heartbeat.
+func (w *Worker) applyRecorded(now time.Time) {
 	known := w.table.Identity()
 	if w.recorded == nil || known.Service != "" {
 		return
 	}
 	id := runtable.Identity(*w.recorded)
 	if id.Incarnation() == known.Incarnation() {
-		w.followIdentity(func() { w.table.Identify(now, id) })
+		w.trackIdentity(func() { w.table.Identify(now, id) })
 	}
 }
 
-// followIdentity does what may change which life the table believes in, and logs and
-// registers the change.
-func (w *Worker) followIdentity(change func()) {
+// trackIdentity calls change, which may change the table's view of the backend server's
+// identity, and logs and registers the new identity if it has.
+func (w *Worker) trackIdentity(change func()) {
 	before := w.table.Identity()
 	change()
 	id := w.table.Identity()
@@ -136,14 +139,14 @@
 	}
 	w.log.Info("backend_state", zap.Stringer("instance", id.Incarnation()), zap.Bool("ready", id.Ready), zap.Int64("cpu", id.Capacity.CPU))
 	if id.Service != "" {
-		// A successor of this process begins with what is registered: a capacity that has
-		// shrunk since would have it order beyond the room.
+		// The next process at this address starts from the record. If the capacity in it were
+		// not updated after a decrease, that process would start more runs than fit.
 		b := store.Backend(id)
-		w.wantRegistered(&b)
+		w.queueRegistration(&b)
 	}
 }
 
-// startAnswered is the backend server's answer to an order to start a run.
+// startAnswered is the backend server's answer to a request to start a run.
 type startAnswered struct {
 	call   runtable.StartCall
 	result runtable.StartResult
@@ -151,7 +154,7 @@
 
 func (e startAnswered) apply(w *Worker, now time.Time) { w.table.StartAnswered(now, e.call, e.result) }
 
-// stopAnswered says whether an order to stop a run was answered.
+// stopAnswered is the result of a request to stop a run.
 type stopAnswered struct {
 	call     runtable.StopCall
 	answered bool
@@ -159,17 +162,16 @@
 
 func (e stopAnswered) apply(w *Worker, now time.Time) { w.table.StopAnswered(now, e.call, e.answered) }
 
-// renewalWanted asks for the next renewal of the lease.
-type renewalWanted struct{ answer chan<- renewal }
+// renewalRequested requests the next renewal of the lease.
+type renewalRequested struct{ answer chan<- renewal }
 
-// renewal is the call that renews the lease next; ok is false when none may be
-// made now.
+// renewal is the call that renews the lease next; ok is false if none may be made now.
 type renewal struct {
 	call runtable.RenewCall
 	ok   bool
 }
 
-func (e renewalWanted) apply(w *Worker, now time.Time) {
+func (e renewalRequested) apply(w *Worker, now time.Time) {
 	call, ok := w.table.NextRenewal(now)
 	e.answer <- renewal{call, ok}
 }
@@ -184,22 +186,22 @@
 	w.table.RenewAnswered(now, e.call, e.answer)
 }
 
-// renewalIsOverdue says that a renewal should have been answered by now.
-type renewalIsOverdue struct{ call runtable.RenewCall }
+// renewalOverdue is posted when the answer to a renewal is overdue.
+type renewalOverdue struct{ call runtable.RenewCall }
 
-func (e renewalIsOverdue) apply(w *Worker, _ time.Time) { w.table.RenewOverdue(e.call) }
+func (e renewalOverdue) apply(w *Worker, _ time.Time) { w.table.RenewOverdue(e.call) }
 
-// handler posts what happens on the connections of coordinators.
+// handler posts the events of the connections to coordinators.
 type handler struct{ w *Worker }
 
-// Up is called when the connection is made.
+// Up is called when a connection is made.
 func (h handler) Up(c *peer.Conn, _ *wire.Hello) {
-	c.Name = fmt.Sprintf("%p", c) // no other connection has it while this one lives
+	c.Name = fmt.Sprintf("%p", c) // unique among the connections that exist at the same time
 	h.w.loop.Post(ownerUp{c})
 }
 
 // Message is called for each message of the peer.
-func (h handler) Message(c *peer.Conn, m wire.Message) { h.w.loop.Post(ownerSaid{c, m}) }
+func (h handler) Message(c *peer.Conn, m wire.Message) { h.w.loop.Post(ownerMessage{c, m}) }
 
-// Down is called when the connection is lost.
+// Down is called when a connection is lost.
 func (h handler) Down(c *peer.Conn, _ error) { h.w.loop.Post(ownerDown{c}) }
--- a/jobs/worker/operators.go
+++ b/jobs/worker/operators.go
@@ -11,37 +11,38 @@
 	"github.com/lichenfall/lichenfall/lib/loop"
 )
 
-// operatorsPause is the time between two readings of the operators' records while the store
-// does not answer, and the most by which the first is put off, so that not all workers ask
-// at once: 960 workers then make 960 of the store's 6,000 readings a
-// second, in its outages alone.
-const operatorsPause = time.Second
+// operatorsRetryPause is the time between two attempts to read the operators' records while the
+// store does not answer. It is also the longest random delay before the first attempt, so that
+// not all workers read at the same time: 960 workers then make 960 of the 6,000 reads a second
+// that the store can answer, and only during its outages.
+const operatorsRetryPause = time.Second
 
-// evacuationsRead holds the evacuated data centres as this process has read them itself.
+// evacuationsRead holds the evacuated data centres that this process has read from the store.
 type evacuationsRead struct{ evacuations routing.Evacuations }
 
 func (e evacuationsRead) apply(w *Worker, now time.Time) {
 	w.table.SetEvacuations(now, e.evacuations)
 }
 
-// readOperators reads the operators' records as long as no coordinator here has had word of
-// them, so that this worker, which can reach the store, does not obey coordinators that
-// cannot. It is called by the control goroutine.
-func (w *Worker) readOperators(now time.Time) {
-	unheard := w.table.EvacuationsStale(now)
-	if unheard == (w.stopReading != nil) {
+// updateOperatorsWatch starts watching the operators' records in the store when no connected
+// coordinator has read them recently, and stops once one has. A worker that can reach the store
+// thus does not start tasks in an evacuated data centre for coordinators that cannot reach it.
+// It is called by the control goroutine.
+func (w *Worker) updateOperatorsWatch(now time.Time) {
+	stale := w.table.EvacuationsStale(now)
+	if stale == (w.stopOperatorsWatch != nil) {
 		return
 	}
-	w.log.Info("reads_operators", zap.Bool("begins", unheard))
-	if !unheard {
-		w.stopReading()
-		w.stopReading = nil
+	w.log.Info("reads_operators", zap.Bool("begins", stale))
+	if !stale {
+		w.stopOperatorsWatch()
+		w.stopOperatorsWatch = nil
 		return
 	}
-	ctx, stop := context.WithCancel(w.halt)
-	w.stopReading = stop
+	ctx, stop := context.WithCancel(w.ctx)
+	w.stopOperatorsWatch = stop
 	go func() {
-		loop.Sleep(ctx, rand.N(operatorsPause))
-		w.store.WatchOperators(ctx, operatorsPause, func(n routing.OperatorUpdate) { w.loop.Post(evacuationsRead{n.Evacuations}) })
+		loop.Sleep(ctx, rand.N(operatorsRetryPause))
+		w.store.WatchOperators(ctx, operatorsRetryPause, func(u routing.OperatorUpdate) { w.loop.Post(evacuationsRead{u.Evacuations}) })
 	}()
 }
--- a/jobs/worker/overview.go
+++ b/jobs/worker/overview.go
@@ -7,21 +7,21 @@
 	"github.com/lichenfall/lichenfall/lib/loop"
 )
 
-// Overview is what a worker says of itself to operators.
+// Overview is the state of a worker, for operators.
 type Overview struct {
 	Box        string `json:"box"`
 	DataCentre string `json:"data_centre"`
 	runtable.View
 }
 
-// overviewWanted asks for the overview.
-type overviewWanted struct{ answer chan<- Overview }
+// overviewRequested requests the overview.
+type overviewRequested struct{ answer chan<- Overview }
 
-func (e overviewWanted) apply(w *Worker, now time.Time) {
+func (e overviewRequested) apply(w *Worker, now time.Time) {
 	e.answer <- Overview{Box: w.cfg.Box.Name, DataCentre: w.cfg.Box.DataCentre, View: w.table.View(now)}
 }
 
-// Overview returns what the worker says of itself to operators; ok is false after its end.
+// Overview returns the state of the worker, for operators; ok is false after Close.
 func (w *Worker) Overview() (o Overview, ok bool) {
-	return loop.Ask(w.loop, func(answer chan<- Overview) event { return overviewWanted{answer} })
+	return loop.Ask(w.loop, func(answer chan<- Overview) event { return overviewRequested{answer} })
 }
--- a/jobs/worker/perform.go
+++ b/jobs/worker/perform.go
@@ -11,10 +11,10 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// perform does what the table has decided.
+// perform carries out what the table has decided.
 func (w *Worker) perform(now time.Time) {
 	e := w.table.Take(now)
-	w.readOperators(now)
+	w.updateOperatorsWatch(now)
 	for _, s := range e.Sends {
 		w.send(s)
 	}
@@ -25,19 +25,19 @@
 		go w.stop(c)
 	}
 	if e.Probe != nil {
-		go w.ask(*e.Probe)
+		go w.probe(*e.Probe)
 	}
 	if e.Renew {
-		w.kickRenewal()
+		w.renewSoon()
 	}
 	for i := range e.Notes {
 		w.logNote(now, &e.Notes[i])
 	}
 }
 
-// send sends a message to a coordinator. One that cannot be sent is lost with
-// its connection, of which ownerDown tells; the coordinator asks again when it is
-// back.
+// send sends a message to a coordinator. A message that cannot be sent is lost with its
+// connection, whose end is posted as ownerDown; the coordinator queries its runs again after it
+// has reconnected.
 func (w *Worker) send(s runtable.ToOwner) {
 	c := w.owners[s.Owner]
 	if c == nil {
@@ -70,34 +70,34 @@
 	w.log.Info(string(n.What), fields...)
 }
 
-// repeatPause is the pause after a call to the backend server without an answer.
-const repeatPause = 20 * time.Millisecond
+// retryPause is the pause after a call to the backend server that was not answered.
+const retryPause = 20 * time.Millisecond
 
 func (w *Worker) start(c runtable.StartCall) {
-	ctx, cancel := context.WithTimeout(w.halt, w.cfg.Runs.CallLimit.D())
+	ctx, cancel := context.WithTimeout(w.ctx, w.cfg.Runs.CallLimit.D())
 	result := w.backend.Start(ctx, c)
 	cancel()
 	if result == runtable.StartUnknown {
-		loop.Sleep(w.halt, repeatPause)
+		loop.Sleep(w.ctx, retryPause)
 	}
 	w.loop.Post(startAnswered{c, result})
 }
 
 func (w *Worker) stop(c runtable.StopCall) {
-	ctx, cancel := context.WithTimeout(w.halt, w.cfg.Runs.CallLimit.D())
+	ctx, cancel := context.WithTimeout(w.ctx, w.cfg.Runs.CallLimit.D())
 	answered := w.backend.Stop(ctx, c)
 	cancel()
 	if !answered {
-		loop.Sleep(w.halt, repeatPause)
+		loop.Sleep(w.ctx, retryPause)
 	}
 	w.loop.Post(stopAnswered{c, answered})
 }
 
-// ask asks the backend server whether it is the life that the call names.
-func (w *Worker) ask(c runtable.RenewCall) {
+// probe checks whether the backend server is the incarnation that the call names.
+func (w *Worker) probe(c runtable.RenewCall) {
 	result := w.renew(c).Result
 	if result == runtable.RenewUnanswered {
-		loop.Sleep(w.halt, repeatPause)
+		loop.Sleep(w.ctx, retryPause)
 	}
-	w.loop.Post(backendAsked{c, result})
+	w.loop.Post(probeAnswered{c, result})
 }
--- a/jobs/worker/registration.go
+++ b/jobs/worker/registration.go
@@ -8,50 +8,50 @@
 	"github.com/lichenfall/lichenfall/lib/loop"
 )
 
-// Bounds of the first questions of a process.
+// Bounds of the attempts to identify the backend server when the process starts.
 const (
-	identifyPause = 50 * time.Millisecond // between questions to the backend server
-	identifyTries = 20                    // after them its heartbeat has come
+	identifyPause = 50 * time.Millisecond // between two attempts
+	identifyTries = 20                    // the backend server has sent a heartbeat by then
 )
 
-// identify asks a backend server that was there before us which life it is, so
-// that its lease is renewed before its next heartbeat.
+// identify asks a backend server that was running before this process started for its
+// incarnation, so that its lease is renewed before its next heartbeat.
 func (w *Worker) identify() {
 	for range identifyTries {
-		ctx, cancel := context.WithTimeout(w.halt, w.cfg.Runs.CallLimit.D())
-		life, ok := w.backend.Identify(ctx)
+		ctx, cancel := context.WithTimeout(w.ctx, w.cfg.Runs.CallLimit.D())
+		incarnation, ok := w.backend.Identify(ctx)
 		cancel()
 		if ok {
-			w.loop.Post(backendFound{life})
+			w.loop.Post(backendIdentified{incarnation})
 			return
 		}
-		loop.Sleep(w.halt, identifyPause)
+		loop.Sleep(w.ctx, identifyPause)
 	}
 }
 
-// keepRegistered makes the process known as soon as its backend server is, and each
-// change of that.
+// keepRegistered writes the process's record to the store once its backend server is known, and
+// again after each change of the backend server's state.
 func (w *Worker) keepRegistered() {
 	w.identify()
 	newer := func() bool { return len(w.register) > 0 }
 	for {
 		select {
-		case <-w.halt.Done():
+		case <-w.ctx.Done():
 			return
 		case b := <-w.register:
-			w.registrar.Register(w.halt, w.member(b), newer)
+			w.registrar.Register(w.ctx, w.member(b), newer)
 		}
 	}
 }
 
-// member returns the record of the process with its backend server.
+// member returns the process's record in the store, with the given backend server.
 func (w *Worker) member(b *store.Backend) store.Member {
 	return store.Member{Address: w.peers.Advertised(), Role: store.RoleWorker, DataCentre: w.cfg.Box.DataCentre, Backend: b}
 }
 
-// wantRegistered registers what is known of the backend server; a newer want
-// replaces one that waits. It is called by the control goroutine.
-func (w *Worker) wantRegistered(b *store.Backend) {
+// queueRegistration queues the state of the backend server for registration, in place of an
+// older state that still waits. It is called by the control goroutine.
+func (w *Worker) queueRegistration(b *store.Backend) {
 	select {
 	case <-w.register:
 	default:
--- a/jobs/worker/renew.go
+++ b/jobs/worker/renew.go
@@ -10,54 +10,56 @@
 
 // Pauses between renewals of the backend server's lease.
 const (
-	renewGap     = 5 * time.Millisecond   // after one that was answered at once
-	renewRetry   = 10 * time.Millisecond  // after one without an answer
-	renewRefused = 50 * time.Millisecond  // after one whose connection was refused
-	renewIdle    = 100 * time.Millisecond // while none may be made
+	fastAnswerPause = 5 * time.Millisecond   // after one that was answered faster than this
+	unansweredPause = 10 * time.Millisecond  // after one that was not answered or not accepted
+	refusedPause    = 50 * time.Millisecond  // after one whose connection was refused
+	idlePause       = 100 * time.Millisecond // while none may be made
 )
 
-// maxRenewals is how many renewals may be on their way at once. One that listens, and some of
-// which the answers are lost.
+// maxRenewals bounds the renewals in flight: one that waits for ends of runs, and some whose
+// answers are overdue, perhaps lost.
 const maxRenewals = 3
 
-// keepRenewing renews the lease and listens for ends: a renewal waits at the backend
-// server until there is news. The next is made when it is answered, or beside it when its
-// answer is overdue.
+// keepRenewing renews the lease and receives the ends of runs by long polling: the backend
+// server answers a renewal when there is an end to report, or when the wait that the renewal
+// allows is over. The next renewal is made after the answer, or in parallel when the answer is
+// overdue.
 func (w *Worker) keepRenewing() {
-	free := make(chan struct{}, maxRenewals)
-	for w.halt.Err() == nil {
+	slots := make(chan struct{}, maxRenewals)
+	for w.ctx.Err() == nil {
 		next := w.nextRenewal()
 		if !next.ok {
-			w.waitKick(renewIdle)
+			w.pauseOrRenewSoon(idlePause)
 			continue
 		}
 		select {
-		case free <- struct{}{}:
-		case <-w.halt.Done():
+		case slots <- struct{}{}:
+		case <-w.ctx.Done():
 			return
 		}
 		began := time.Now()
-		result, answered := w.renewUntilOverdue(next.call, func() { <-free })
+		result, answered := w.renewUntilOverdue(next.call, func() { <-slots })
 		switch {
 		case !answered:
 		case result == runtable.RenewConnectionRefused:
-			loop.Sleep(w.halt, renewRefused)
+			loop.Sleep(w.ctx, refusedPause)
 		case result != runtable.RenewOK:
-			loop.Sleep(w.halt, renewRetry)
-		case time.Since(began) < renewGap:
-			w.waitKick(renewGap)
+			loop.Sleep(w.ctx, unansweredPause)
+		case time.Since(began) < fastAnswerPause:
+			w.pauseOrRenewSoon(fastAnswerPause)
 		}
 	}
 }
 
-// renewUntilOverdue makes a renewal, and returns when it is answered or overdue. Its
-// answer is posted whenever it comes; done is called then.
+// renewUntilOverdue makes a renewal and returns when it is answered or overdue. Its result is
+// posted whenever it arrives, and done is called then.
 func (w *Worker) renewUntilOverdue(call runtable.RenewCall, done func()) (result runtable.RenewResult, answered bool) {
 	results := make(chan runtable.RenewResult, 1)
 	go func() {
 		defer done()
 		answer := w.renew(call)
-		// The answer comes first in the loop, the question for the next renewal after it.
+		// Post the answer before the caller requests the next renewal, so that the table handles
+		// them in this order.
 		w.loop.Post(renewalAnswered{call, answer})
 		results <- answer.Result
 	}()
@@ -67,35 +69,36 @@
 	case result := <-results:
 		return result, true
 	case <-overdue.C:
-		w.loop.Post(renewalIsOverdue{call})
+		w.loop.Post(renewalOverdue{call})
 		return runtable.RenewUnanswered, false
 	}
 }
 
 func (w *Worker) renew(call runtable.RenewCall) runtable.RenewAnswer {
-	ctx, cancel := context.WithTimeout(w.halt, call.Wait+call.Limit)
+	ctx, cancel := context.WithTimeout(w.ctx, call.Wait+call.Limit)
 	defer cancel()
 	return w.backend.Renew(ctx, call)
 }
 
 func (w *Worker) nextRenewal() renewal {
-	n, _ := loop.Ask(w.loop, func(answer chan<- renewal) event { return renewalWanted{answer} })
-	return n // not ok after the end of the loop
+	n, _ := loop.Ask(w.loop, func(answer chan<- renewal) event { return renewalRequested{answer} })
+	return n // ok is false after the loop has ended
 }
 
-// kickRenewal ends the present pause between renewals.
-func (w *Worker) kickRenewal() {
+// renewSoon ends the current call of pauseOrRenewSoon, or else the next one.
+func (w *Worker) renewSoon() {
 	select {
 	case w.renewNow <- struct{}{}:
 	default:
 	}
 }
 
-func (w *Worker) waitKick(d time.Duration) {
+// pauseOrRenewSoon waits for the duration, or until renewSoon or Close is called.
+func (w *Worker) pauseOrRenewSoon(d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
-	case <-w.halt.Done():
+	case <-w.ctx.Done():
 	case <-t.C:
 	case <-w.renewNow:
 	}
--- a/jobs/worker/worker.go
+++ b/jobs/worker/worker.go
@@ -1,10 +1,11 @@
-// Package worker is the daemon beside a backend server: it runs the tasks that
-// coordinators order, and keeps the lease that they run under. The decisions
-// are those of package runtable; this package moves messages.
+// Package worker is the daemon next to a backend server. It starts and stops runs of tasks
+// there as coordinators request, and renews the lease that they run under. Package runtable
+// makes the decisions; this package passes messages between it, the coordinators and the
+// backend server.
 //
-// It owns the connections of coordinators, the calls to the backend server, and
-// the process's record in the store. It relies on the store only to be found and
-// to be fast after a restart: without it, what is connected goes on.
+// It owns the connections to coordinators, the calls to the backend server, and the process's
+// record in the store. It relies on the store only for coordinators to find it and for a fast
+// restart: during an outage of the store, connected coordinators are served as before.
 package worker
 
 import (
@@ -27,15 +28,16 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// Backend is a backend server that runs tasks under a lease. Each call ends
-// within its context.
+// Backend is a backend server that runs tasks under a lease. Each call returns when its context
+// ends at the latest.
 type Backend interface {
-	// Identify asks which life answers; ok is false when none does.
-	Identify(ctx context.Context) (life runtable.Incarnation, ok bool)
+	// Identify returns the incarnation that answers; ok is false when none does.
+	Identify(ctx context.Context) (incarnation runtable.Incarnation, ok bool)
+	// Start requests the start of a run and returns what became of the request.
 	Start(ctx context.Context, c runtable.StartCall) runtable.StartResult
-	// Stop returns whether the order was answered.
+	// Stop requests the stop of a run and returns whether the request was answered.
 	Stop(ctx context.Context, c runtable.StopCall) bool
-	// Renew renews the lease and returns the lists of runs and ends.
+	// Renew renews the lease and returns the lists of running and ended runs.
 	Renew(ctx context.Context, c runtable.RenewCall) runtable.RenewAnswer
 }
 
@@ -48,41 +50,41 @@
 	metrics *metrics.Jobs
 	loop    *loop.Loop[event]
 	clock   *clock.Clock
-	name    string // unique to this process
+	name    string // unique to this process: the box's name and a random ID
 
 	// Owned by the control goroutine.
 	table  *runtable.Table
 	owners map[string]*peer.Conn
-	// stopReading ends the readings of the operators' records; nil while there are none.
-	stopReading context.CancelFunc
-	// recorded is what the store has of the backend server, by word of a coordinator; nil
-	// before the first.
+	// stopOperatorsWatch stops reading the operators' records; nil while they are not read.
+	stopOperatorsWatch context.CancelFunc
+	// recorded is what the store has of the backend server, as a coordinator last reported it;
+	// nil before the first report.
 	recorded *store.Backend
 
 	peers    *peer.Listener
-	halt     context.Context
-	end      context.CancelFunc
-	renewNow chan struct{} // a renewal is wanted at once
+	ctx      context.Context // ends with Close
+	cancel   context.CancelFunc
+	renewNow chan struct{} // ends the pause between renewals
 
-	register  chan *store.Backend // to be registered; holds the newest
+	register  chan *store.Backend // states to be registered; holds the newest one
 	registrar *registration.Registrar
 }
 
 const (
-	// readLimit is how long a coordinator may say nothing. Its heartbeats come five times a
-	// second, and its lease is long over.
+	// readLimit is how long a coordinator's connection may stay silent. Heartbeats arrive five
+	// times a second, and the coordinator's lease has expired long before.
 	readLimit = 5 * time.Second
-	// backlog is how many events may wait for the control goroutine; whoever posts more has to
-	// wait.
+	// backlog is how many events may wait for the control goroutine; posting blocks beyond that.
 	backlog = 2048
-	// controlLate names the line of a control goroutine that was late.
+	// controlLate is the log line and metric label for a stall of the control goroutine.
 	controlLate = "control_late"
-	// tickEvery is how often the core looks at the time: well below its shortest limit, of 50
-	// ms.
-	tickEvery = 25 * time.Millisecond
+	// tickInterval is the time between two calls of the table's Tick: well below the shortest
+	// timeout in the table, 50 ms.
+	tickInterval = 25 * time.Millisecond
 )
 
-// Start starts a worker.
+// Start starts a worker beside the backend server b. It fails if the clock cannot be read or the
+// address for peers cannot be listened on.
 func Start(cfg *config.Worker, b Backend, s store.Store, m *metrics.Jobs, log *logging.Log) (*Worker, error) {
 	opts := peer.Options{
 		MaxFrame:   cfg.Peers.MaxFrame,
@@ -91,7 +93,7 @@
 		Advertise:  cfg.Peers.Advertise,
 		ReadLimit:  readLimit,
 	}
-	steady, err := clock.System()
+	clk, err := clock.System()
 	if err != nil {
 		return nil, err
 	}
@@ -99,25 +101,25 @@
 	if err != nil {
 		return nil, errs.Wrap(err)
 	}
-	w := newWorker(cfg, b, s, m, log, steady)
+	w := newWorker(cfg, b, s, m, log, clk)
 	w.peers = peers
-	w.halt, w.end = context.WithCancel(context.Background())
+	w.ctx, w.cancel = context.WithCancel(context.Background())
 	w.run()
 	log.Info("worker_started", zap.String("worker", w.name), zap.String("peers", peers.Advertised()))
 	return w, nil
 }
 
-func newWorker(cfg *config.Worker, b Backend, s store.Store, m *metrics.Jobs, log *logging.Log, steady *clock.Clock) *Worker {
+func newWorker(cfg *config.Worker, b Backend, s store.Store, m *metrics.Jobs, log *logging.Log, clk *clock.Clock) *Worker {
 	return &Worker{
 		cfg:       cfg,
-		clock:     steady,
+		clock:     clk,
 		log:       log,
 		backend:   b,
 		store:     s,
 		metrics:   m,
 		loop:      loop.New[event](backlog),
 		name:      cfg.Box.Name + "/" + uuid.NewString(),
-		table:     runtable.New(cfg.Runs.Core(cfg.Box.DataCentre), steady.Now()),
+		table:     runtable.New(cfg.Runs.Core(cfg.Box.DataCentre), clk.Now()),
 		owners:    make(map[string]*peer.Conn),
 		renewNow:  make(chan struct{}, 1),
 		register:  make(chan *store.Backend, 1),
@@ -125,23 +127,23 @@
 	}
 }
 
-// run starts the goroutines.
+// run starts the worker's goroutines.
 func (w *Worker) run() {
-	go w.loop.Run(w.halt.Done(), tickEvery, loop.Steps[event]{Clock: w.clock, Resumed: w.resumed, Late: w.late, Handle: w.handle, Tick: w.table.Tick, Perform: w.perform})
+	go w.loop.Run(w.ctx.Done(), tickInterval, loop.Steps[event]{Clock: w.clock, Resumed: w.resumed, Late: w.stalled, Handle: w.handle, Tick: w.table.Tick, Perform: w.perform})
 	w.peers.Serve(w.hello, handler{w})
 	go w.keepRenewing()
 	go w.keepRegistered()
 }
 
-// resumed takes the end of a suspension of the box.
+// resumed handles the end of a suspension of the box.
 func (w *Worker) resumed(now time.Time, suspended time.Duration) {
 	w.log.Warn("box_resumed", zap.Int64("suspended_ms", suspended.Milliseconds()))
 	w.table.Resumed(now, suspended)
 }
 
-// late takes that nothing was done here for so long. Leases are measured by the time, so
-// nothing else is to be done.
-func (w *Worker) late(_ time.Time, by time.Duration) {
+// stalled records that the control goroutine did nothing for a while. Nothing else is needed:
+// leases expire by the clock, not by the number of ticks.
+func (w *Worker) stalled(_ time.Time, by time.Duration) {
 	w.metrics.Decision(controlLate)
 	w.log.Warn(controlLate, zap.Int64("late_ms", by.Milliseconds()))
 }
@@ -150,15 +152,16 @@
 	return peer.Introduction(wire.RoleWorker, w.cfg.Box.Name, w.cfg.Box.DataCentre, w.name, w.peers.Advertised())
 }
 
-// Reported takes what the backend server says of itself.
+// Reported handles a report that the backend server sent on its own, such as a heartbeat.
 func (w *Worker) Reported(r runtable.Report) { w.loop.Post(backendReported{r}) }
 
-// Deregistered takes the word of a life of the backend server that it ends.
-func (w *Worker) Deregistered(life runtable.Incarnation) { w.loop.Post(backendDeregistered{life}) }
+// Deregistered handles the announcement of an incarnation of the backend server that it ends.
+func (w *Worker) Deregistered(i runtable.Incarnation) { w.loop.Post(backendDeregistered{i}) }
 
-// Close ends everything at once. What runs goes on under its lease.
+// Close stops the worker at once. Tasks that are running continue under the backend server's
+// lease.
 func (w *Worker) Close() {
-	w.end()
+	w.cancel()
 	<-w.loop.Done()
 	w.peers.Close()
 	w.log.Info("stopped")
