--- a/jobs/durable/check.go
+++ b/jobs/durable/check.go
@@ -7,24 +7,24 @@
 
 // Bounds of a job.
 const (
-	MaxSpec  = 4000  // bytes; the users' bound
-	MaxSteps = 256   // of a job
-	MaxTasks = 10000 // of all steps; the users' largest jobs have 150
+	MaxSpec  = 4000  // bytes of a job's specification; required by the users
+	MaxSteps = 256   // steps of a job
+	MaxTasks = 10000 // tasks in all steps of a job; the users' largest jobs have 150
 )
 
-// FieldError names the field of a submission that is out of bounds.
+// FieldError reports a field of a submission that is out of bounds.
 type FieldError struct {
 	Field   string // such as "steps[3].count"
-	Reason  string
-	Allowed string
+	Reason  string // what is wrong with the value
+	Allowed string // the values that are allowed
 }
 
-// Error returns field, reason and what is allowed in one line.
+// Error returns the field, the reason and the allowed values in one line.
 func (e *FieldError) Error() string {
 	return e.Field + ": " + e.Reason + " (allowed: " + e.Allowed + ")"
 }
 
-// Check returns the first thing that is out of bounds, or nil.
+// Check returns an error for the first field that is out of bounds, or nil.
 func (s *Submission) Check() *FieldError {
 	switch {
 	case len(s.Spec) > MaxSpec:
@@ -46,31 +46,31 @@
 }
 
 func (s *Step) check(i int) *FieldError {
-	bad := func(field, allowed string) *FieldError {
+	outOfRange := func(field, allowed string) *FieldError {
 		return &FieldError{fmt.Sprintf("steps[%d].%s", i, field), "out of range", allowed}
 	}
 	inRange := func(n int64) bool { return n >= 0 && n <= math.MaxInt32 }
 	switch {
 	case s.Count == 0 || s.Count > MaxTasks:
-		return bad(fieldCount, fmt.Sprintf("1 to %d", MaxTasks))
+		return outOfRange(fieldCount, fmt.Sprintf("1 to %d", MaxTasks))
 	case !inRange(s.Need.CPU):
-		return bad(fieldCPU, "0 or more thousandths of a core")
+		return outOfRange(fieldCPU, "0 or more thousandths of a core")
 	case !inRange(s.Need.Memory):
-		return bad(fieldMemory, "0 or more MiB")
+		return outOfRange(fieldMemory, "0 or more MiB")
 	case !inRange(s.Need.GPU):
-		return bad(fieldGPU, "0 or more")
+		return outOfRange(fieldGPU, "0 or more")
 	case !inRange(s.EstimateMS):
-		return bad(fieldEstimate, "0 or more milliseconds")
+		return outOfRange(fieldEstimate, "0 or more milliseconds")
 	}
 	for _, d := range s.DependsOn {
 		if int(d) >= i {
-			return bad(fieldDependsOn, "numbers of earlier steps")
+			return outOfRange(fieldDependsOn, "numbers of earlier steps")
 		}
 	}
 	return nil
 }
 
-// The fields of a step, as errors name them.
+// The names of a step's fields in errors.
 const (
 	fieldCount     = "count"
 	fieldCPU       = "cpu"
--- a/jobs/durable/durable.go
+++ b/jobs/durable/durable.go
@@ -1,7 +1,7 @@
-// Package durable defines the jobs that are kept in the log store before they
-// are acknowledged, and the records that describe them there. It owns their encoded
-// form, which must stay readable: the store has records of earlier versions. It does
-// no I/O.
+// Package durable defines jobs and the records that describe them in the log store. A job is
+// written to the store before it is acknowledged to its caller, unless it is best-effort. The
+// package owns the encoding of the records, which must stay readable: the store holds records
+// of earlier versions. It does no I/O.
 package durable
 
 import (
@@ -22,10 +22,10 @@
 // JobID names a job: 16 hexadecimal digits chosen by the caller.
 type JobID string
 
-// jobIDLength is the number of digits of a JobID.
+// jobIDLength is the number of digits in a JobID.
 const jobIDLength = 16
 
-// Valid returns whether the ID has the right form.
+// Valid returns whether the ID consists of 16 hexadecimal digits.
 func (id JobID) Valid() bool {
 	if len(id) != jobIDLength {
 		return false
@@ -42,7 +42,7 @@
 	return b >= '0' && b <= '9' || b >= 'a' && b <= 'f' || b >= 'A' && b <= 'F'
 }
 
-// Partition returns the partition, of so many, that keeps the job.
+// Partition returns the number of the partition that stores the job, from 0 to partitions-1.
 func (id JobID) Partition(partitions uint32) uint32 {
 	return uint32(xxhash.Sum64String(string(id)) % uint64(partitions))
 }
@@ -51,8 +51,8 @@
 type TaskID struct {
 	Job    JobID
 	Repeat uint32 // which repetition of the job's steps, from 0
-	Step   uint32
-	Index  uint32
+	Step   uint32 // index of the step in the job, from 0
+	Index  uint32 // index of the task in the step, from 0
 }
 
 // String returns the ID as JOB.REPEAT.STEP.INDEX.
@@ -60,10 +60,10 @@
 	return fmt.Sprintf("%s.%d.%d.%d", t.Job, t.Repeat, t.Step, t.Index)
 }
 
-// taskIDParts is the number of parts of a TaskID's text.
+// taskIDParts is the number of parts in the text form of a TaskID.
 const taskIDParts = 4
 
-// ParseTaskID reads what TaskID.String writes; ok is false for anything else.
+// ParseTaskID parses the text form that TaskID.String returns; ok is false for any other text.
 func ParseTaskID(s string) (t TaskID, ok bool) {
 	parts := strings.Split(s, ".")
 	if len(parts) != taskIDParts || !JobID(parts[0]).Valid() {
@@ -80,68 +80,69 @@
 	return t, true
 }
 
-// Resources is what a task needs or a backend server has.
+// Resources is an amount that a task needs or a backend server has.
 type Resources struct {
 	CPU    int64 // thousandths of a core
 	Memory int64 // MiB
-	GPU    int64 // whole accelerators
+	GPU    int64 // number of whole accelerators
 }
 
-// Add returns the sum.
+// Add returns the sum of each component.
 func (r Resources) Add(o Resources) Resources {
 	return Resources{r.CPU + o.CPU, r.Memory + o.Memory, r.GPU + o.GPU}
 }
 
-// Sub returns the difference; its parts may be negative.
+// Sub returns the difference of each component, which may be negative.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{r.CPU - o.CPU, r.Memory - o.Memory, r.GPU - o.GPU}
 }
 
-// Fits returns whether r is within the room.
-func (r Resources) Fits(room Resources) bool {
-	return r.CPU <= room.CPU && r.Memory <= room.Memory && r.GPU <= room.GPU
+// Fits returns whether no component of r exceeds that of free.
+func (r Resources) Fits(free Resources) bool {
+	return r.CPU <= free.CPU && r.Memory <= free.Memory && r.GPU <= free.GPU
 }
 
-// Max returns the greater of each part.
+// Max returns the greater of each component.
 func (r Resources) Max(o Resources) Resources {
 	return Resources{max(r.CPU, o.CPU), max(r.Memory, o.Memory), max(r.GPU, o.GPU)}
 }
 
-// CountIn returns how many times r fits into the room, at most mostTimes.
-func (r Resources) CountIn(room Resources) int64 {
-	n := int64(mostTimes)
-	for _, part := range [...]struct{ need, room int64 }{{r.CPU, room.CPU}, {r.Memory, room.Memory}, {r.GPU, room.GPU}} {
-		if part.need > 0 {
-			n = min(n, max(0, part.room/part.need))
+// CountIn returns how many times r fits into free, at most maxCount.
+func (r Resources) CountIn(free Resources) int64 {
+	n := int64(maxCount)
+	for _, c := range [...]struct{ need, free int64 }{{r.CPU, free.CPU}, {r.Memory, free.Memory}, {r.GPU, free.GPU}} {
+		if c.need > 0 {
+			n = min(n, max(0, c.free/c.need))
 		}
 	}
 	return n
 }
 
-// mostTimes bounds how often what needs nothing fits. More than any job has tasks.
-const mostTimes = 1 << 20
+// maxCount is the result of CountIn for resources that are all zero. It exceeds the number of
+// tasks of any job.
+const maxCount = 1 << 20
 
-// Queue holds the settings of the queue that a job was submitted to, as they
-// were in force then.
+// Queue holds the settings of the queue that a job was submitted to, as they were in force when
+// it was submitted.
 type Queue struct {
 	Name        string
-	Service     string // the pool of backend servers that runs its tasks
-	Priority    int32  // 0 comes first
-	MaxAttempts uint32 // failed runs of one task that fail the job
-	Stretch     float64
-	TargetMS    int64 // objective: Stretch times the work, and this much
+	Service     string  // the pool of backend servers that runs the queue's tasks
+	Priority    int32   // the lowest number, usually 0, comes first
+	MaxAttempts uint32  // the job fails when so many runs of one task have failed
+	Stretch     float64 // a job's time objective is Stretch times its longest chain of estimates, plus TargetMS
+	TargetMS    int64   // milliseconds
 }
 
-// Step is a group of like tasks.
+// Step is a group of tasks with the same properties.
 type Step struct {
-	Count        uint32
-	Need         Resources
-	EstimateMS   int64
-	DependsOn    []uint32 // earlier steps that must be done first
-	Checkpoints  bool
-	Requires     string // a label that the backend server must have
-	Affinity     string // the rack that is near the data
-	AntiAffinity uint32 // tasks of the step on one backend server at once; 0 is no bound
+	Count        uint32    // number of tasks
+	Need         Resources // of each task
+	EstimateMS   int64     // estimated time of a task, in milliseconds; 0 is unknown
+	DependsOn    []uint32  // indexes of earlier steps that must be done first
+	Checkpoints  bool      // the submission states that the tasks write checkpoints
+	Requires     string    // a label that the backend server must have; empty for none
+	Affinity     string    // a label of the rack near the tasks' data; empty for none
+	AntiAffinity uint32    // most tasks of the step on one backend server at once; 0 is no limit
 }
 
 // Submission is the record of a job as it was accepted.
@@ -150,9 +151,9 @@
 	Queue Queue
 	Spec  string
 	Steps []Step
-	Epoch uint64 // of the partition's owner that accepted it
-	// BestEffort marks a job that is not kept: its caller waits for its end, and
-	// sends it again when there is no answer.
+	Epoch uint64 // fencing epoch of the partition's owner that accepted the job
+	// BestEffort marks a job that is not stored: its caller waits for its end, and resends it
+	// if there is no answer.
 	BestEffort bool
 }
 
@@ -165,7 +166,8 @@
 	return n
 }
 
-// SameContent returns whether a resent submission asks for the same work.
+// SameContent returns whether a resent submission has the same work: the specification, and the
+// count and need of each step. Other fields are not compared.
 func (s *Submission) SameContent(o *Submission) bool {
 	if s.Spec != o.Spec || len(s.Steps) != len(o.Steps) {
 		return false
@@ -178,7 +180,7 @@
 	return true
 }
 
-// State is where a job stands.
+// State is the state of a job.
 type State uint8
 
 // The states of a job. The last three are final.
@@ -190,10 +192,10 @@
 	Cancelled
 )
 
-// Final returns whether a job in this state never leaves it.
+// Final returns whether the job has ended: it never leaves this state.
 func (s State) Final() bool { return s >= Completed }
 
-// String returns the state's name.
+// String returns the name of the state; any unknown state is returned as cancelled.
 func (s State) String() string {
 	switch s {
 	case Queued:
@@ -208,37 +210,37 @@
 	return "cancelled"
 }
 
-// Failure names the failed runs of one task. They are named, not counted, since
-// a worker may tell of one again.
+// Failure lists the failed runs of one task. They are listed, not counted, since a worker may
+// report one of them again.
 type Failure struct {
-	Task uint32 // number of the task, counted over all steps
-	Runs []uint32
+	Task uint32   // number of the task, counted over all steps
+	Runs []uint32 // numbers of the runs
 }
 
-// Crash is a backend server that crashed under a run of a task. It is named by its life,
-// since a worker may tell of one again, and run numbers of jobs that are not kept may be
-// used again.
+// Crash is a crash of a backend server during a run of a task. It is identified by the
+// incarnation of the backend server, since a worker may report a crash again, and since run
+// numbers of jobs that are not stored may be reused.
 type Crash struct {
 	Task     uint32 // number of the task, counted over all steps
-	Instance string // the life of the backend server
-	Begun    bool   // the run was at work; else its start had no answer yet
+	Instance string // incarnation of the backend server
+	Begun    bool   // the run had started; if not, its start was not answered yet
 }
 
-// Crashes are the crashes under the tasks of one job.
+// Crashes are the crashes during runs of the tasks of one job.
 type Crashes []Crash
 
-// Progress is the record of how far a job is. It replaces the one before.
+// Progress is the progress of a job. Its record replaces the one before.
 type Progress struct {
-	State    uint8 // a State; Queued stands for any that is not final
-	Done     Bitmap
+	State    uint8  // a State; Queued stands for any that is not final
+	Done     Bitmap // numbers of the tasks that are done, counted over all steps
 	Failures []Failure
-	Crashes  Crashes `msg:"-"` // follow the rest in the record, if there are any
+	Crashes  Crashes `msg:"-"` // encoded after the rest of the record, if there are any
 }
 
-// Bitmap is a set of task numbers.
+// Bitmap is a set of task numbers, one bit each, the lowest bit of a byte first.
 type Bitmap []byte
 
-// byteBits is the number of bits of a byte.
+// byteBits is the number of bits in a byte.
 const byteBits = 8
 
 // Has returns whether n is in the set.
@@ -246,7 +248,7 @@
 	return n/byteBits < len(b) && b[n/byteBits]&(1<<(n%byteBits)) != 0
 }
 
-// With returns the set with n added; b may be changed.
+// With returns the set with n added. It may modify b.
 func (b Bitmap) With(n int) Bitmap {
 	for len(b) <= n/byteBits {
 		b = append(b, 0)
@@ -255,7 +257,7 @@
 	return b
 }
 
-// Len returns the number of members.
+// Len returns the number of members of the set.
 func (b Bitmap) Len() int {
 	n := 0
 	for _, x := range b {
@@ -264,5 +266,5 @@
 	return n
 }
 
-// Estimate returns how long a task of the step is thought to take.
+// Estimate returns the estimated time of a task of the step; 0 if unknown.
 func (s *Step) Estimate() time.Duration { return time.Duration(s.EstimateMS) * time.Millisecond }
--- a/jobs/durable/durable_test.go
+++ b/jobs/durable/durable_test.go
@@ -28,7 +28,7 @@
 		Entry("empty", "", false),
 	)
 
-	DescribeTable("task IDs that are none are refused", func(s string) {
+	DescribeTable("malformed task IDs are refused", func(s string) {
 		_, ok := durable.ParseTaskID(s)
 		Expect(ok).To(BeFalse())
 	},
@@ -41,7 +41,7 @@
 	)
 })
 
-func anyTask() *rapid.Generator[durable.TaskID] {
+func anyTaskID() *rapid.Generator[durable.TaskID] {
 	return rapid.Custom(func(t *rapid.T) durable.TaskID {
 		return durable.TaskID{
 			Job:    durable.JobID(rapid.StringMatching(`[0-9a-f]{16}`).Draw(t, "job")),
@@ -54,10 +54,10 @@
 
 func TestTaskIDRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		id := anyTask().Draw(t, "task")
+		id := anyTaskID().Draw(t, "task")
 		back, ok := durable.ParseTaskID(id.String())
 		if !ok || back != id {
-			t.Fatalf("%v became %v, %v", id, back, ok)
+			t.Fatalf("%v was parsed as %v, %v", id, back, ok)
 		}
 	})
 }
@@ -90,7 +90,7 @@
 		Epoch: 7,
 	}
 
-	It("come back as they were kept", func() {
+	It("are decoded as they were encoded", func() {
 		s, err := durable.SubmissionRecord(job)
 		Expect(err).NotTo(HaveOccurred())
 		p, err := durable.ProgressRecord(job.ID, &durable.Progress{Done: durable.Bitmap{}.With(1), Failures: []durable.Failure{{Task: 0, Runs: []uint32{1, 17}}}})
@@ -103,7 +103,7 @@
 		Expect(jobs[job.ID].Progress.Failures).To(ConsistOf(durable.Failure{Task: 0, Runs: []uint32{1, 17}}))
 	})
 
-	It("keep the crashes under a job's tasks, and are as before without any", func() {
+	It("hold the crashes during a job's runs, and are encoded as before without any", func() {
 		before := &durable.Progress{Done: durable.Bitmap{}.With(1)}
 		plain, err := durable.ProgressRecord(job.ID, before)
 		Expect(err).NotTo(HaveOccurred())
@@ -121,16 +121,16 @@
 		Expect(malformed).To(HaveLen(1))
 	})
 
-	It("step over malformed ones without losing their neighbours", func() {
+	It("are decoded even if others are malformed", func() {
 		good, err := durable.SubmissionRecord(job)
 		Expect(err).NotTo(HaveOccurred())
-		cut := good
-		cut.Key = "aaaaaaaaaaaaaaaas"
-		cut.Value = good.Value[:len(good.Value)-1]
+		truncated := good
+		truncated.Key = "aaaaaaaaaaaaaaaas"
+		truncated.Value = good.Value[:len(good.Value)-1]
 		jobs, malformed := durable.Collect([]durable.Record{
 			{Key: "short", Value: []byte{1}},
 			{Key: "5c0e7a21d94b36f8?", Value: []byte{1}},
-			cut, good,
+			truncated, good,
 		})
 		Expect(malformed).To(ConsistOf("short", "5c0e7a21d94b36f8?", "aaaaaaaaaaaaaaaas"))
 		Expect(jobs).To(HaveLen(1))
--- a/jobs/durable/golden_test.go
+++ b/jobs/durable/golden_test.go
@@ -9,8 +9,8 @@
 	"github.com/lichenfall/lichenfall/lib/golden"
 )
 
-// TestEncodedRecords holds the bytes of one record of each kind: the store has
-// such records of earlier versions.
+// TestEncodedRecords compares one record of each kind with its golden bytes: the store holds
+// records of earlier versions, so the encoding must not change.
 func TestEncodedRecords(t *testing.T) {
 	s := &durable.Submission{
 		ID:    "5c0e7a21d94b36f8",
--- a/jobs/durable/record.go
+++ b/jobs/durable/record.go
@@ -2,36 +2,36 @@
 
 import "github.com/zeebo/errs"
 
-// ErrMalformed means that a record of the store cannot be read.
+// ErrMalformed means that a record from the store cannot be decoded.
 var ErrMalformed = errs.New("malformed record")
 
-// The kinds of record, by the last byte of the key: the job's ID and one of these.
+// The kinds of record. A key is the job's ID followed by one of these bytes.
 const (
 	submissionSuffix = 's'
 	progressSuffix   = 'p'
 )
 
-// Record is a key and its newest value in the store. An empty value removes
-// the key.
+// Record is a key and its newest value in the store. A record with an empty value is a
+// tombstone: it removes the key.
 type Record struct {
 	Key   string
 	Value []byte
 }
 
-// SubmissionRecord returns the record that keeps a job.
+// SubmissionRecord returns the record of a job as it was accepted.
 func SubmissionRecord(s *Submission) (Record, error) {
 	value, err := s.MarshalMsg(nil)
 	return Record{string(s.ID) + string(submissionSuffix), value}, errs.Wrap(err)
 }
 
-// SubmissionTombstone returns the record that removes a job's content; its
-// progress stays.
+// SubmissionTombstone returns the record that removes a job's submission from the store. The
+// record of its progress stays.
 func SubmissionTombstone(id JobID) Record {
 	return Record{Key: string(id) + string(submissionSuffix)}
 }
 
-// ProgressRecord returns the record of how far a job is. That of a job without crashes
-// has nothing behind its progress: processes that know of no crashes read it too.
+// ProgressRecord returns the record of a job's progress. Crashes are appended only if there are
+// any, so that versions of the program that do not know of crashes can read all other records.
 func ProgressRecord(id JobID, p *Progress) (Record, error) {
 	value, err := p.MarshalMsg(nil)
 	if err == nil && len(p.Crashes) > 0 {
@@ -40,19 +40,20 @@
 	return Record{string(id) + string(progressSuffix), value}, errs.Wrap(err)
 }
 
-// ProgressTombstone returns the record that removes the last of a job.
+// ProgressTombstone returns the record that removes a job's progress, which is the last of its
+// records in the store.
 func ProgressTombstone(id JobID) Record {
 	return Record{Key: string(id) + string(progressSuffix)}
 }
 
-// Stored is what the store keeps of one job; either part may be missing.
+// Stored holds the records of one job that the store has; either may be missing.
 type Stored struct {
 	Submission *Submission
 	Progress   *Progress
 }
 
-// Collect groups records by job. Records that cannot be read are returned by
-// their keys and left out.
+// Collect decodes records and groups them by job. Records that cannot be decoded are left out,
+// and their keys are returned.
 func Collect(records []Record) (jobs map[JobID]*Stored, malformed []string) {
 	jobs = make(map[JobID]*Stored)
 	for _, r := range records {
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// readProgress reads what ProgressRecord writes.
+// readProgress decodes the value of a progress record, with or without crashes.
 func readProgress(value []byte) (*Progress, error) {
 	p := &Progress{}
 	rest, err := p.UnmarshalMsg(value)
