--- a/jobs/durable/durable.go
+++ b/jobs/durable/durable.go
@@ -118,8 +118,8 @@
 	return n
 }
 
-// maxCount is the result of CountIn for resources that are all zero. It exceeds the number of
-// tasks of any job.
+// maxCount bounds the result of CountIn, which would be infinite for resources that are all zero.
+// It exceeds the number of tasks of any job.
 const maxCount = 1 << 20
 
 // Queue holds the settings of the queue that a job was submitted to, as they were in force when
