--- a/jobs/store/append_test.go
+++ b/jobs/store/append_test.go
@@ -16,40 +16,40 @@
 }
 
 var _ = Describe("an append", func() {
-	lost := errors.New("no answer")
+	noAnswer := errors.New("no answer")
 
-	It("is done with its answer, and the next has the next number", func() {
+	It("is done when it is answered, and the next has the next number", func() {
 		a := store.NewAppendTracker()
 		Expect(a.HandleResult(nil)).To(Equal(store.AppendDone))
 		Expect(a.Number()).To(Equal(uint64(2)))
 	})
 
-	It("is refused only when no copy of it may still be carried out", func() {
+	It("is refused only when no attempt may still be carried out", func() {
 		a := store.NewAppendTracker()
 		Expect(a.HandleResult(store.ErrRefused)).To(Equal(store.AppendRefused))
 		Expect(a.Number()).To(Equal(uint64(1)))
 
-		Expect(a.HandleResult(lost)).To(Equal(store.AppendPending))
-		Expect(a.HandleResult(store.ErrRefused)).To(Equal(store.AppendPending), "the first copy may land later")
-		Expect(a.Number()).To(Equal(uint64(1)), "the same number makes the copies one")
+		Expect(a.HandleResult(noAnswer)).To(Equal(store.AppendPending))
+		Expect(a.HandleResult(store.ErrRefused)).To(Equal(store.AppendPending), "the first attempt may be carried out later")
+		Expect(a.Number()).To(Equal(uint64(1)), "of attempts with the same number only one is carried out")
 		Expect(a.HandleResult(nil)).To(Equal(store.AppendDone))
 	})
 
-	It("that a newer owner overtook is lost when a copy had no answer", func() {
+	It("is uncertain when a newer owner exists and an attempt was not answered", func() {
 		a := store.NewAppendTracker()
 		Expect(a.HandleResult(store.ErrFenced)).To(Equal(store.AppendFenced))
-		Expect(a.HandleResult(lost)).To(Equal(store.AppendPending))
+		Expect(a.HandleResult(noAnswer)).To(Equal(store.AppendPending))
 		Expect(a.HandleResult(store.ErrFenced)).To(Equal(store.AppendUncertain))
 	})
 
-	It("was carried out when the store wants a later number", func() {
+	It("was carried out when an attempt was not answered and the store expects a later number", func() {
 		a := store.NewAppendTracker()
-		Expect(a.HandleResult(lost)).To(Equal(store.AppendPending))
+		Expect(a.HandleResult(noAnswer)).To(Equal(store.AppendPending))
 		Expect(a.HandleResult(&store.SequenceError{Wanted: 2})).To(Equal(store.AppendDone))
 		Expect(a.Number()).To(Equal(uint64(2)))
 	})
 
-	It("takes the number that the store wants when no copy is open", func() {
+	It("takes the number that the store expects when every attempt was answered", func() {
 		a := store.NewAppendTracker()
 		Expect(a.HandleResult(&store.SequenceError{Wanted: 5})).To(Equal(store.AppendPending))
 		Expect(a.Number()).To(Equal(uint64(5)))
--- a/jobs/store/store.go
+++ b/jobs/store/store.go
@@ -1,7 +1,8 @@
-// Package store says what the product needs of the log service that keeps its
-// state: partitions with fenced appends and the newest record of each key, a
-// group that deals the partitions out, and what operators put in force.
-// It does no I/O itself; adapters implement Store.
+// Package store defines the interface of the log service that holds the state of jobs. The
+// service has partitions with fenced appends, from which the newest record of each key can be
+// read; a group whose members are assigned the partitions; the records of registered processes;
+// and the records in which operators set the configuration and evacuations. The package does no
+// I/O itself; adapters implement Store.
 package store
 
 import (
@@ -15,32 +16,34 @@
 	"github.com/lichenfall/lichenfall/jobs/routing"
 )
 
-// The ways in which a call fails. Any other error means that the call may or
-// may not have been carried out, now or later.
+// Errors of calls, besides SequenceError. After any other error the call may have been carried
+// out, or may be carried out later.
 var (
-	// ErrRefused means that nothing was done and nothing will be.
+	// ErrRefused means that the call was not carried out and will not be.
 	ErrRefused = errs.New("the store refused the call")
-	// ErrFenced means that a higher epoch has been seen; nothing was done.
-	ErrFenced = errs.New("a higher epoch has been seen")
+	// ErrFenced means that the store has seen a higher epoch, and did not carry out the call.
+	ErrFenced = errs.New("the store has seen a higher epoch")
 )
 
-// SequenceError refuses an append whose number does not follow the last.
+// SequenceError is returned for an append whose number does not follow that of the last one. The
+// append was not carried out.
 type SequenceError struct {
-	Wanted uint64
+	Wanted uint64 // the number that the store expects next
 }
 
-// Error names the number that the store wants.
+// Error returns a text with the number that the store expects.
 func (e *SequenceError) Error() string {
-	return errs.New("the store wants number %d", e.Wanted).Error()
+	return errs.New("the store expects append number %d", e.Wanted).Error()
 }
 
-// Assignment is the store's answer to a member of the group.
+// Assignment is the store's answer to a member of the group of owners: the partitions that are
+// assigned to it.
 type Assignment struct {
-	Generation uint64 // rises with each change
+	Generation uint64 // of the group; increases with each change of the assignment
 	Partitions []uint32
 }
 
-// Role says what a registered process does.
+// Role is the role of a registered process.
 type Role string
 
 // The roles of processes.
@@ -51,13 +54,13 @@
 
 // Member is a registered process.
 type Member struct {
-	Address    string // where it listens for its peers
+	Address    string // where it listens for its peers; unique among the members
 	Role       Role
 	DataCentre string
-	Backend    *Backend // of a worker, once it is known
+	Backend    *Backend // the worker's backend server; nil if unknown, and for a coordinator
 }
 
-// MemberAt returns the member of the address.
+// MemberAt returns the member with the address; found is false if there is none.
 func MemberAt(members []Member, address string) (m Member, found bool) {
 	for _, m := range members {
 		if m.Address == address {
@@ -67,7 +70,7 @@
 	return Member{}, false
 }
 
-// Equal returns whether the two say the same.
+// Equal returns whether the two members are equal in all fields, including the backend server's.
 func (m *Member) Equal(o *Member) bool {
 	if m.Address != o.Address || m.Role != o.Role || m.DataCentre != o.DataCentre || (m.Backend == nil) != (o.Backend == nil) {
 		return false
@@ -75,13 +78,13 @@
 	return m.Backend == nil || m.Backend.equal(o.Backend)
 }
 
-// Backend is what a worker last knew of its backend server, for the next
-// process at its address.
+// Backend is the state of a backend server as its worker last registered it, for the next
+// process at the worker's address.
 type Backend struct {
-	Instance string // with Born, the life
-	Born     int64  `json:",omitempty"` // milliseconds since 1970; 0 where backend servers do not tell
-	Service  string
-	Ready    bool
+	Instance string // identifies the incarnation, together with Born
+	Born     int64  `json:",omitempty"` // when it started, in ms since 1970; 0 if it does not report that
+	Service  string // the pool that it belongs to
+	Ready    bool   // accepts tasks
 	Capacity durable.Resources
 	Labels   []string
 }
@@ -91,27 +94,29 @@
 		b.Capacity == o.Capacity && slices.Equal(b.Labels, o.Labels)
 }
 
-// Store is the log service as one process uses it. Its methods may be called
-// by several goroutines at once.
+// Store is the log service as one process uses it. Its methods may be called by several
+// goroutines at the same time.
 type Store interface {
-	// Join stays in the group of owners for the time to live, counted from the
-	// arrival of the call.
+	// Join joins the group of owners, or renews the membership, for the time to live from the
+	// arrival of the call. The generation is that of the last Assignment, 0 before the first.
 	Join(ctx context.Context, member string, generation uint64, ttl time.Duration) (Assignment, error)
-	// Leave gives all partitions up at once.
+	// Leave leaves the group of owners, which gives up all partitions at once.
 	Leave(ctx context.Context, member string) error
 	// Fence makes the store refuse appends to the partition under lower epochs.
 	Fence(ctx context.Context, partition uint32, epoch uint64) error
-	// Append adds the records, all or none, once for each epoch and number.
+	// Append adds all of the records or none. Numbers count the appends to a partition under one
+	// epoch, from 1; a call with a number that was already carried out succeeds without effect.
 	Append(ctx context.Context, partition uint32, epoch, number uint64, records []durable.Record) error
 	// NewestRecords returns the newest record of each key of the partition.
 	NewestRecords(ctx context.Context, partition uint32) ([]durable.Record, error)
-	// Register makes the process known to all.
+	// Register stores the record of the process, in place of an earlier one at its address.
 	Register(ctx context.Context, m Member) error
-	// WatchMembers calls f with the changes of the registered processes, first with
-	// all of them, until ctx ends.
-	WatchMembers(ctx context.Context, f func(joined []Member))
-	// WatchOperators calls f with what operators have put in force: first with all that stands,
-	// then after each reading that the store has answered, also if it brought nothing new,
-	// until ctx ends. At the end of an outage pause is the time between two tries.
+	// WatchMembers calls f with all registered processes, and then with those that are added or
+	// changed, until ctx ends.
+	WatchMembers(ctx context.Context, f func(changed []Member))
+	// WatchOperators calls f with the configuration and evacuations that operators have set:
+	// first with all that are in force, then after each read that the store has answered, even
+	// if nothing has changed, until ctx ends. pause is the time before a failed read is
+	// repeated.
 	WatchOperators(ctx context.Context, pause time.Duration, f func(routing.OperatorUpdate))
 }
