--- a/jobs/room/random_test.go
+++ b/jobs/room/random_test.go
@@ -69,10 +69,10 @@
 	})
 }
 
-// TestEarliestIsGranted sends the request with the earliest virtual deadline to a backend
-// server that is in use. It needs any share of the server, while coordinators with later
-// deadlines take all that they are offered. It is granted capacity within the time for which it
-// may be bypassed plus the longest run.
+// TestEarliestIsGranted sends the request with the earliest virtual deadline to the worker of a
+// backend server that is in use. Its task needs one to ten of the server's ten cores, and
+// coordinators with later deadlines take all that they are offered. The task is granted capacity
+// within the time for which it may be bypassed plus the longest run.
 func TestEarliestIsGranted(t *testing.T) {
 	const longestRun, maxBypass, step, before = 100, 100, 5, 200 // ms
 	rapid.Check(t, func(t *rapid.T) {
--- a/jobs/speed/deviation.go
+++ b/jobs/speed/deviation.go
@@ -25,9 +25,9 @@
 	d.ratios = append(d.ratios, x)
 }
 
-// permanent returns whether the deviation is to become the new baseline. Nothing makes a server
-// faster than it is, so one that is faster than its baseline was slowed when the baseline was
-// learned, or too few runs were: it takes no minimum time.
+// permanent returns whether the deviation is to become the new baseline. One to the faster side
+// does so after maxSamples runs, however short the period: nothing makes a server faster than it
+// is, so the server was slowed while the baseline was learned, or that had too few runs.
 func (d *deviation) permanent(now time.Time) bool {
 	if !d.slower {
 		return len(d.ratios) == maxSamples
--- a/jobs/speed/speed.go
+++ b/jobs/speed/speed.go
@@ -87,9 +87,9 @@
 }
 
 // Slowness returns the duration of the latest runs over the usual one, or over their estimates
-// while the usual one is unknown. Runs that have not ended are included, with the weight that
-// they would have if they had ended in the order in which they began, if they take longer than
-// the latest: this detects a server that has become slow, or does nothing, before its runs end.
+// while the usual one is unknown. A run that has not ended is included if it takes longer than
+// the latest, with a weight that decreases with each run that has ended since it began. This
+// detects a server that has become slow, or does nothing, before its runs end.
 func (m *Meter) Slowness(running []Running) float64 {
 	latest := m.latest
 	for _, r := range running {
