--- a/jobs/coordinator/group.go
+++ b/jobs/coordinator/group.go
@@ -9,45 +9,46 @@
 	"github.com/lichenfall/lichenfall/lib/loop"
 )
 
-// keepJoining stays in the group of owners, until it is left at a planned stop.
-func (c *Coordinator) keepJoining() {
+// joinLoop joins the group of owners again and again, which renews the lease on our partitions. It
+// ends when a planned stop has left the group.
+func (c *Coordinator) joinLoop() {
 	generation := uint64(0)
-	for c.halt.Err() == nil {
+	for c.ctx.Err() == nil {
 		if c.stopping.Load() && c.leaveGroup() {
 			return
 		}
 		sent := c.clock.Now()
-		ctx, cancel := context.WithTimeout(c.halt, c.cfg.Ownership.CallLimit.D())
+		ctx, cancel := context.WithTimeout(c.ctx, c.cfg.Ownership.CallLimit.D())
 		a, err := c.store.Join(ctx, c.member, generation, c.cfg.Ownership.TTL.D())
 		cancel()
 		if err == nil {
 			generation = a.Generation
 		}
 		c.loop.Post(joined{sent, a, err})
-		c.pauseJoin()
+		c.waitForNextJoin()
 	}
 }
 
-// pauseJoin waits until the next join is due or wanted at once.
-func (c *Coordinator) pauseJoin() {
+// waitForNextJoin waits until the next join is due or requested.
+func (c *Coordinator) waitForNextJoin() {
 	t := time.NewTimer(c.cfg.Ownership.Join.D())
 	defer t.Stop()
 	select {
-	case <-c.halt.Done():
+	case <-c.ctx.Done():
 	case <-t.C:
 	case <-c.joinNow:
 	}
 }
 
-// joinSoon ends the present pause between joins.
-func (c *Coordinator) joinSoon() {
+// requestJoin makes the next join happen without a pause.
+func (c *Coordinator) requestJoin() {
 	select {
 	case c.joinNow <- struct{}{}:
 	default:
 	}
 }
 
-// checkLease stops all work while our lease may be over.
+// checkLease suspends the work on our partitions while the lease on them may have expired.
 func (c *Coordinator) checkLease(now time.Time) {
 	valid := c.owned.Valid(now)
 	for p := range c.writers {
@@ -55,7 +56,7 @@
 	}
 }
 
-// release lets a partition go, whether it is read, ours or neither.
+// release gives up a partition, whether we own it, are still reading it, or neither.
 func (c *Coordinator) release(now time.Time, partition uint32, reason string) {
 	if stop := c.loading[partition]; stop != nil {
 		stop()
@@ -68,17 +69,18 @@
 	}
 }
 
-// leaveGroup gives all partitions up once the control goroutine has let go of
-// them. It returns false while that still has something to store.
+// leaveGroup leaves the group of owners, after the control goroutine has released all partitions.
+// It returns false if the control goroutine still waits for appends to the store, and true if the
+// loop has ended instead.
 func (c *Coordinator) leaveGroup() bool {
-	may, running := loop.Ask(c.loop, func(answer chan<- bool) event { return leaveWanted{answer} })
+	released, running := loop.Ask(c.loop, func(answer chan<- bool) event { return leaveRequested{answer} })
 	if !running {
 		return true
 	}
-	if !may {
+	if !released {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(c.halt, c.cfg.Ownership.CallLimit.D())
+	ctx, cancel := context.WithTimeout(c.ctx, c.cfg.Ownership.CallLimit.D())
 	defer cancel()
 	if err := c.store.Leave(ctx, c.member); err != nil {
 		c.log.Warn("leave_failed", zap.Error(err))
@@ -88,10 +90,10 @@
 	return true
 }
 
-// mayLeave lets all partitions go when nothing waits for the store, or the time
-// for that is over.
-func (c *Coordinator) mayLeave(now time.Time) bool {
-	if !c.core.Idle() && now.Sub(c.drainedAt) < c.cfg.Ownership.Flush.D() {
+// tryRelease releases all partitions once no append to the store is outstanding, or the time limit
+// for that has passed. It returns whether it has done so.
+func (c *Coordinator) tryRelease(now time.Time) bool {
+	if !c.core.AllStored() && now.Sub(c.drainStartedAt) < c.cfg.Ownership.Flush.D() {
 		return false
 	}
 	c.leaving = true
--- a/jobs/promises/peers_test.go
+++ b/jobs/promises/peers_test.go
@@ -216,7 +216,7 @@
 	old := p.n.core.BestEffortOlderThan(now, p.copies.Settings().AnnounceDeadline())
 	for _, id := range dedup.Unannounced(old, p.announced) {
 		p.n.w.counts["jobs given up untold"]++
-		p.n.core.GiveUpUntold(now, id)
+		p.n.core.GiveUpUnannounced(now, id)
 	}
 }
 
@@ -235,7 +235,7 @@
 	if n.peers == nil || n.core.HasBestEffort(c.id) {
 		return true
 	}
-	if c.passedOn || n.core.Ending(c.id) {
+	if c.passedOn || n.core.HasOutstandingRuns(c.id) {
 		n.refuseCopy(c, "ended here")
 		return false
 	}
@@ -294,7 +294,7 @@
 		sent = c.since
 	}
 	sent = n.peers.lateness.EarliestSent(now, sent)
-	n.core.SentBefore(c.id, sent)
+	n.core.SetEarliestSent(c.id, sent)
 	if now.Sub(sent) >= n.peers.copies.Settings().AnnounceAfter() {
 		n.peers.announcedAt = time.Time{}
 	}
--- a/jobs/scheduler/dispatch.go
+++ b/jobs/scheduler/dispatch.go
@@ -26,15 +26,15 @@
 		q.moveOverdue(now)
 		r := c.newRound(now, service)
 		if !c.dispatchHeap(now, &q.onTime, r, orders) || !c.dispatchHeap(now, &q.overdue, r, orders) {
-			c.demandOf(service).short(now)
+			c.demandOf(service).recordShortage(now)
 		}
 	}
 	for _, w := range ordered.KeysFunc(orders, byName) {
 		m := orders[w]
 		w.startSeq++
 		m.Seq = w.startSeq
-		w.ask.seen = w.status.Stamp
-		m.Seen = w.ask.seen
+		w.request.seenStamp = w.status.Stamp
+		m.Seen = w.request.seenStamp
 		c.send(w.name, m)
 	}
 	if c.cfg.Load.AskForRoom {
@@ -68,7 +68,7 @@
 	}
 	passed = append(passed, held...)
 	for _, t := range passed {
-		t.queued = t.turn() // others of its job may have been ordered meanwhile
+		t.sortKey = t.virtualDeadline() // others of its job may have been ordered meanwhile
 		heap.Push(q, t)
 	}
 	return len(passed) == 0
@@ -108,7 +108,7 @@
 		BestEffort: t.job.sub.BestEffort,
 		Spec:       t.job.sub.Spec,
 		Need:       t.step.Need,
-		Checkpoint: t.check,
+		Checkpoint: t.checkpoint,
 		EstimateMS: int64(f.estimateAt(w)),
 		LimitMS:    c.limitOf(f, cand).Milliseconds(),
 		Crashes:    uint32(len(t.crashes)),
--- a/jobs/scheduler/ready.go
+++ b/jobs/scheduler/ready.go
@@ -21,7 +21,7 @@
 // onTimeBefore goes by turn, and where that is the same, as for all that is left of a job that
 // has begun, puts that first after which the most work comes.
 func onTimeBefore(a, b *task) bool {
-	if d := a.queued.Compare(b.queued); d != 0 {
+	if d := a.sortKey.Compare(b.sortKey); d != 0 {
 		return d < 0
 	}
 	return a.due.Before(b.due)
@@ -39,7 +39,7 @@
 func (q *readyQueue) Len() int { return q.onTime.Len() + q.overdue.Len() }
 
 func (q *readyQueue) push(now time.Time, t *task) {
-	t.queued = t.turn()
+	t.sortKey = t.virtualDeadline()
 	t.heap = &q.onTime
 	if t.isOverdue(now) {
 		t.heap = &q.overdue
@@ -83,12 +83,12 @@
 
 // readyTasks lets the tasks of a job wait for a worker whose earlier steps are done.
 func (c *Core) readyTasks(now time.Time, j *job) {
-	if !j.accepted || j.unsettled || j.state.Final() {
+	if !j.accepted || j.reconciling || j.state.Final() {
 		return
 	}
 	for i := range j.tasks {
 		t := &j.tasks[i]
-		if t.state == taskBlocked && j.open(t.step) {
+		if t.state == taskBlocked && j.dependenciesDone(t.step) {
 			t.state = taskReady
 			c.enqueue(now, t)
 		}
@@ -100,7 +100,7 @@
 	if t.job.state.Final() || t.position >= 0 {
 		return
 	}
-	if t.job.unsettled {
+	if t.job.reconciling {
 		t.state = taskBlocked
 		return
 	}
--- a/jobs/store/store.go
+++ b/jobs/store/store.go
@@ -116,7 +116,7 @@
 	WatchMembers(ctx context.Context, f func(changed []Member))
 	// WatchOperators calls f with the configuration and evacuations that operators have set:
 	// first with all that are in force, then after each read that the store has answered, even
-	// if nothing has changed, until ctx ends. pause is the time before a failed read is
-	// repeated.
+	// if nothing has changed, until ctx ends. pause is the time between a failed read and the
+	// next; it may grow while reads go on failing.
 	WatchOperators(ctx context.Context, pause time.Duration, f func(routing.OperatorUpdate))
 }
