--- a/jobs/runtable/capacity_test.go
+++ b/jobs/runtable/capacity_test.go
@@ -194,7 +194,7 @@
 		Expect(n.lastStatus["a"].Free.CPU).To(Equal(int64(2500)))
 		n.request("b", 1, 0)
 		n.perform()
-		Expect(n.lastStatus["a"].Waiting).To(BeEmpty(), "nothing counts that comes over a replaced connection")
+		Expect(n.lastStatus["a"].Waiting).To(BeEmpty(), "requests on a replaced connection do not count")
 	})
 
 	It("advertises all free capacity to all once nobody requests any", func() {
--- a/jobs/runtable/queries_test.go
+++ b/jobs/runtable/queries_test.go
@@ -34,6 +34,6 @@
 		f.table.OwnerDown(f.now, owner)
 		f.table.OwnerUp(f.now, "conn-2", member)
 		f.table.QueryRuns(f.now, "conn-2", &wire.RunsQuery{})
-		Expect(f.take().Stops).To(ConsistOf(HaveField("Ref", ref(0, wire.BestEffortRun+1))), "the other is of a kept job")
+		Expect(f.take().Stops).To(ConsistOf(HaveField("Ref", ref(0, wire.BestEffortRun+1))), "the other run is of a durable job")
 	})
 })
--- a/jobs/runtable/races_test.go
+++ b/jobs/runtable/races_test.go
@@ -87,7 +87,7 @@
 	Expect(f.refuseUntilGivenUp()).To(BeEmpty())
 	f.table.StartAnswered(f.now, third, runtable.StartConnectionRefused)
 	f.table.StartAnswered(f.now, second, runtable.StartConnectionRefused)
-	Expect(ends(f.take())).To(BeEmpty(), "the first copy may be carried out late")
+	Expect(ends(f.take())).To(BeEmpty(), "the first order may still be carried out")
 	f.startIncarnation(2000)
 	Expect(f.take().Stops).To(HaveLen(1))
 }
@@ -209,7 +209,7 @@
 	Expect(f.renewLease(nil).Deadline).To(Equal(f.clock() + f.cfg.BackendLease.D()))
 	f.advance(f.cfg.StopGrace.D())
 	_, ok := f.table.NextRenewal(f.now)
-	Expect(ok).To(BeTrue(), "nothing lapses")
+	Expect(ok).To(BeTrue(), "the lease does not lapse")
 }
 
 // TestAdoptedRunThatCannotBeStopped guards against renewing the lease for ever under a run that
@@ -307,13 +307,13 @@
 	f.renewLease(listed)
 	f.renewLease(listed)
 	stops := f.take().Stops
-	Expect(stops).To(HaveLen(1), "once for both lists")
+	Expect(stops).To(HaveLen(1), "one stop for both lists")
 	Expect(stops[0].Incarnation()).To(Equal(identity.Incarnation()))
 	Expect(stops[0].Token).To(Equal(f.renewLease(nil).Token))
 	f.table.StopAnswered(f.now, stops[0], false)
 	f.advance(100 * time.Millisecond)
 	f.renewLease(listed)
-	Expect(f.take().Stops).To(HaveLen(1), "while it is listed")
+	Expect(f.take().Stops).To(HaveLen(1), "a stop is sent again while the run is listed")
 	f.advance(100 * time.Millisecond)
 	f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: bestEffortRef, Valid: true, How: wire.EndStopped})
 	f.renewLease(listed) // from a delayed list
@@ -349,7 +349,7 @@
 	f.advanceRenewing(f.cfg.StartLimit.D() + time.Millisecond)
 	Expect(f.take().Stops).To(HaveLen(1))
 	f.heartbeat(7)
-	Expect(f.refuseUntilGivenUp()).To(BeEmpty(), "the order may be on its way")
+	Expect(f.refuseUntilGivenUp()).To(BeEmpty(), "the order may still be in transit")
 	f.startIncarnation(2000)
 	Expect(f.take().Stops).To(HaveLen(1))
 }
@@ -362,7 +362,7 @@
 	f := restartingFixture(1000)
 	_, second := sendOrderTwice(f)
 	f.table.StartAnswered(f.now, second, runtable.StartAccepted)
-	Expect(f.refuseUntilGivenUp()).To(BeEmpty(), "the first copy may be on its way")
+	Expect(f.refuseUntilGivenUp()).To(BeEmpty(), "the first order may still be in transit")
 	f.startIncarnation(2000)
 	Expect(f.take().Stops).To(HaveLen(1))
 }
--- a/jobs/runtable/refused_test.go
+++ b/jobs/runtable/refused_test.go
@@ -56,7 +56,7 @@
 		"of an order": func(f *fixture) {
 			f.order(0, ref(5, wire.BestEffortRun+1))
 			f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartConnectionRefused)
-			Expect(ends(f.take())).To(ConsistOf(HaveField("How", uint8(wire.EndNotRun))), "that order never came")
+			Expect(ends(f.take())).To(ConsistOf(HaveField("How", uint8(wire.EndNotRun))), "the order never arrived")
 		},
 	}
 	for name, refuse := range refusals {
@@ -68,7 +68,7 @@
 			e := f.take()
 			Expect(ends(e)).To(BeEmpty())
 			f.order(0, ref(6, wire.BestEffortRun+1))
-			Expect(how(ends(f.take())[0])).To(Equal(wire.EndNotRun), "it takes nothing meanwhile")
+			Expect(how(ends(f.take())[0])).To(Equal(wire.EndNotRun), "the worker takes no orders meanwhile")
 			f.renewLease([]runtable.ListedRun{{Ref: bestEffortRef}})
 			f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: bestEffortRef, Valid: true, How: wire.EndDone})
 			Expect(ends(f.take())).To(ConsistOf(HaveField("How", uint8(wire.EndDone))))
@@ -94,5 +94,5 @@
 	Expect(reported).To(ConsistOf(HaveField("How", uint8(wire.EndCrashed))))
 	Expect(f.now).To(BeTemporally(">", over))
 	Expect(f.now).To(BeTemporally("<", over.Add(200*time.Millisecond)))
-	Expect(f.table.Identity().Ready).To(BeFalse(), "with nothing left there the life is given up")
+	Expect(f.table.Identity().Ready).To(BeFalse(), "without runs the incarnation is given up")
 }
--- a/jobs/runtable/reports_test.go
+++ b/jobs/runtable/reports_test.go
@@ -20,7 +20,7 @@
 		e := f.take()
 		ExpectWithOffset(1, e.Probe).NotTo(BeNil())
 		ExpectWithOffset(1, e.Probe.Instance).To(Equal(instance))
-		ExpectWithOffset(1, e.Probe.Token).To(BeZero(), "a question renews nothing")
+		ExpectWithOffset(1, e.Probe.Token).To(BeZero(), "a probe renews nothing")
 		ExpectWithOffset(1, e.Probe.Deadline).To(BeZero())
 		f.table.ProbeAnswered(f.now, *e.Probe, result)
 	}
@@ -63,7 +63,7 @@
 		Expect(ends(e)).To(BeEmpty())
 		Expect(f.table.Identity().Instance).To(Equal("i-2"))
 		f.table.Reported(f.now, report("i-2", 2))
-		Expect(f.take().Probe).To(BeNil(), "the living one is still known")
+		Expect(f.take().Probe).To(BeNil(), "the incarnation in force is still known")
 	})
 
 	It("of a crashed incarnation end nothing at a worker that knows no incarnation yet", func() {
--- a/jobs/runtable/restarted_test.go
+++ b/jobs/runtable/restarted_test.go
@@ -85,14 +85,14 @@
 		call, ok := f.table.NextRenewal(f.now)
 		Expect(ok).To(BeTrue())
 		Expect(call.LastSeen).To(BeZero())
-		Expect(call.Deadline).To(BeZero(), "a lease by the clock of the life before")
+		Expect(call.Deadline).To(BeZero(), "a lease end would be on the clock of the previous incarnation")
 	})
 
 	It("stops a run that was ordered from the previous incarnation before the owner is sent its end", func() {
 		f := ready()
 		f.order(7, ref(0, 1))
 		f.table.StartAnswered(f.now, f.take().Starts[0], runtable.StartAccepted)
-		Expect(restart(f)).To(BeEmpty(), "the second life may run it")
+		Expect(restart(f)).To(BeEmpty(), "the second incarnation may run it")
 		sync(f, runtable.ListedRun{Ref: ref(0, 1)})
 		e := f.take()
 		Expect(ends(e)).To(BeEmpty())
--- a/jobs/runtable/runtable_test.go
+++ b/jobs/runtable/runtable_test.go
@@ -158,7 +158,7 @@
 		e := f.take()
 		Expect(e.Starts).To(BeEmpty())
 		Expect(ends(e)).To(ConsistOf(HaveField("Reason", "no_lease")))
-		Expect(e.Stops).To(BeEmpty(), "its lease keeps what an earlier process started")
+		Expect(e.Stops).To(BeEmpty(), "its lease keeps the runs that an earlier process started")
 		f.table.SetNeeds(f.now, owner, &wire.RunNeeds{Runs: []wire.RunNeed{{Ref: ref(9, 1), Need: durable.Resources{CPU: 1000}}}})
 		claim(true)
 		f.order(7, ref(0, 2))
@@ -268,7 +268,7 @@
 		Expect(ok).To(BeTrue())
 		f.table.StopAnswered(f.now, e.Stops[0], true)
 		f.table.RenewAnswered(f.now, earlier, runtable.RenewAnswer{Result: runtable.RenewOK, Clock: f.clock()})
-		Expect(ends(f.take())).To(BeEmpty(), "a list from before the seal may not show it yet")
+		Expect(ends(f.take())).To(BeEmpty(), "a list from before the stop may not show the run yet")
 		f.renewLease(nil)
 		Expect(how(ends(f.take())[0])).To(Equal(wire.EndNotRun))
 	})
@@ -297,7 +297,7 @@
 		f.take()
 		f.table.StartAnswered(f.now, call, runtable.StartConnectionRefused)
 		f.order(7, ref(1, 1))
-		Expect(ends(f.take())).To(ConsistOf(HaveField("Reason", "not_ready")), "the earlier copy may have come")
+		Expect(ends(f.take())).To(ConsistOf(HaveField("Reason", "not_ready")), "the earlier order may have arrived")
 		f.table.Identify(f.now, nextIdentity())
 		Expect(ends(f.take())).To(ConsistOf(And(
 			HaveField("How", uint8(wire.EndCrashed)), HaveField("Begun", false), HaveField("Alone", false))))
@@ -507,12 +507,12 @@
 		Expect(statusOf(f).Slowness).To(BeEquivalentTo(100))
 		run(f, 0)
 		f.advanceRenewing(600 * time.Millisecond)
-		Expect(statusOf(f).Slowness).To(BeEquivalentTo(112), "four times, for which one run counts at most, to the power of 0.08")
+		Expect(statusOf(f).Slowness).To(BeEquivalentTo(112), "one run counts as at most four times its estimate, to the power of 0.08")
 		f.renewLease(nil, runtable.ListedEnd{Number: 1, Ref: ref(0, 1), Valid: true, How: wire.EndDone})
 		Expect(statusOf(f).Slowness).To(BeEquivalentTo(112))
 		run(f, 1)
 		f.advanceRenewing(100 * time.Millisecond)
-		Expect(statusOf(f).Slowness).To(BeEquivalentTo(112), "a run that is young says nothing")
+		Expect(statusOf(f).Slowness).To(BeEquivalentTo(112), "a young run does not count")
 	})
 
 	It("show after a few runs that a server is as fast as before", func() {
@@ -645,7 +645,7 @@
 		}
 		f.advanceRenewing(500 * time.Millisecond)
 		f.heartbeat(7)
-		Expect(f.renewLease(nil).Wait).To(Equal(f.cfg.CalmRenewWait.D()), "since all have been answered for long")
+		Expect(f.renewLease(nil).Wait).To(Equal(f.cfg.CalmRenewWait.D()), "all calls have been answered for long enough")
 	})
 
 	It("are followed by another when overdue, and count once as unanswered if they are lost", func() {
@@ -658,7 +658,7 @@
 		Expect(second.Limit).To(Equal(2 * f.cfg.RenewLimit.D()))
 		f.table.RenewAnswered(f.now, first, runtable.RenewAnswer{Result: runtable.RenewUnanswered})
 		third, _ := f.table.NextRenewal(f.now)
-		Expect(third.Limit).To(Equal(second.Limit), "it was counted when it was overdue")
+		Expect(third.Limit).To(Equal(second.Limit), "it was counted when it became overdue")
 		f.table.RenewAnswered(f.now, second, runtable.RenewAnswer{Result: runtable.RenewOK, Clock: f.clock()})
 		Expect(f.renewLease(nil).Wait).NotTo(BeZero())
 	})
@@ -706,7 +706,7 @@
 		second := unanswered(f)
 		Expect(second.Wait).To(BeZero())
 		Expect(second.Limit).To(Equal(2 * f.cfg.RenewLimit.D()))
-		Expect(unanswered(f).Limit).To(Equal(f.cfg.CallLimit.D()), "and no more than any call has")
+		Expect(unanswered(f).Limit).To(Equal(f.cfg.CallLimit.D()), "no more than the limit of any call")
 		f.renewLease(nil)
 		Expect(f.renewLease(nil).Limit).To(Equal(f.cfg.RenewLimit.D()))
 	})
--- a/jobs/runtable/speed_test.go
+++ b/jobs/runtable/speed_test.go
@@ -93,7 +93,7 @@
 		f.renewLease(nil)
 		f.number = 0
 		f.runTasks(16, 60*time.Millisecond)
-		Expect(f.status().TimeFactor).To(BeEquivalentTo(60), "another kind of machine")
+		Expect(f.status().TimeFactor).To(BeEquivalentTo(60), "the new incarnation may be on another kind of box")
 	},
 		Entry("with another instance ID", func() runtable.Identity { id := identity; id.Instance = "i-2"; return id }()),
 		Entry("with the same instance ID", func() runtable.Identity { id := identity; id.Born = 2000; return id }()),
--- a/jobs/runtable/speedlog.go
+++ b/jobs/runtable/speedlog.go
@@ -19,7 +19,7 @@
 // changed.
 func (t *Table) logSpeed(now time.Time) {
 	last := &t.outcomes.logged
-	factor := percent(t.outcomes.speed.Factor())
+	factor := percent(t.outcomes.speed.TimeFactor())
 	if factor == 0 || factor == last.factor {
 		return
 	}
--- a/jobs/runtable/status.go
+++ b/jobs/runtable/status.go
@@ -50,7 +50,7 @@
 
 func (t *Table) status(now time.Time, conn string, o *owner, slowness uint32) *wire.WorkerStatus {
 	s := &wire.WorkerStatus{
-		TimeFactor:   percent(t.outcomes.speed.Factor()),
+		TimeFactor:   percent(t.outcomes.speed.TimeFactor()),
 		Slowness:     slowness,
 		Failing:      percent(t.outcomes.failing),
 		Stamp:        t.stamp(now),
--- a/jobs/runtable/view.go
+++ b/jobs/runtable/view.go
@@ -33,7 +33,7 @@
 		Ready:        t.canStart(),
 		Silent:       t.silent,
 		Evacuated:    t.evacuated,
-		TimeFactor:   percent(t.outcomes.speed.Factor()),
+		TimeFactor:   percent(t.outcomes.speed.TimeFactor()),
 		Slowness:     percent(t.slowness(now)),
 		Failing:      percent(t.outcomes.failing),
 		Capacity:     t.identity.Capacity.CPU,
