--- a/jobs/room/grants.go
+++ b/jobs/room/grants.go
@@ -16,7 +16,7 @@
 	maxLapses = 3
 	// minLapsePenalty and maxLapsePenalty bound how long an owner ranks last after it let
 	// grants lapse; the time doubles with each further lapse. At the maximum the owner is
-	// granted capacity as often as callers retry.
+	// granted capacity about as often as callers retry.
 	minLapsePenalty = 100 * time.Millisecond
 	maxLapsePenalty = 1600 * time.Millisecond
 )
