--- a/jobs/runtable/lapse.go
+++ b/jobs/runtable/lapse.go
@@ -10,18 +10,18 @@
 // lapseMargin is added to the end of the backend server's lease, since timers fire late.
 const lapseMargin = 50 * time.Millisecond
 
-// expireLeases looks for owners whose lease is over while something of theirs is
-// here. Their runs are stopped one by one; what is not gone within the grace is
-// ended by letting the backend server's lease lapse.
+// expireLeases handles the owners whose lease has expired while runs of theirs, or ends that
+// they have not stored, are here. The runs are stopped one by one. What is left after the grace
+// is ended by letting the backend server's lease lapse.
 func (t *Table) expireLeases(now time.Time) {
-	if t.lapsing || !t.known {
+	if t.lapsing || !t.hasIdentity {
 		return
 	}
-	for _, key := range t.leasesOver(now) {
+	for _, key := range t.expiredLeases(now) {
 		l := t.leases[key]
 		if l.stoppedAt.IsZero() {
 			l.stoppedAt = now
-			t.stopRunsOf(now, key)
+			t.stopRunsUnder(now, key)
 		}
 		if now.Sub(l.stoppedAt) >= t.cfg.StopGrace {
 			t.lapse(now, string(OwnerLeaseEnded))
@@ -29,20 +29,20 @@
 		}
 	}
 	if t.synced && now.Sub(t.syncedAt) > t.cfg.AdoptionTimeout {
-		t.expireUnowned(now)
+		t.lapseUnowned(now)
 	}
 }
 
-// leasesOver returns the leases that are over while something of theirs is here, in
-// their order. Those of coordinators that are gone and have nothing here are forgotten.
-func (t *Table) leasesOver(now time.Time) []leaseKey {
+// expiredLeases returns the keys of expired leases under which there are still runs or unstored
+// ends, in order. It drops expired leases of disconnected coordinators that have nothing here.
+func (t *Table) expiredLeases(now time.Time) []leaseKey {
 	var over []leaseKey
 	for key, l := range t.leases {
-		isOver := !now.Before(l.expires)
+		expired := !now.Before(l.expires)
 		switch {
-		case isOver && t.holds(key):
+		case expired && t.hasWorkUnder(key):
 			over = append(over, key)
-		case isOver && key.member != "" && t.owners[l.owner] == nil:
+		case expired && key.member != "" && t.owners[l.conn] == nil:
 			delete(t.leases, key)
 		default:
 			l.stoppedAt = time.Time{}
@@ -52,20 +52,20 @@
 	return over
 }
 
-// stopRunsOf stops all runs under the lease.
-func (t *Table) stopRunsOf(now time.Time, key leaseKey) {
+// stopRunsUnder stops all runs under the lease.
+func (t *Table) stopRunsUnder(now time.Time, key leaseKey) {
 	t.note(OwnerLeaseEnded, wire.RunRef{}, key.member)
-	for _, ref := range t.refs() {
+	for _, ref := range t.sortedRefs() {
 		r := t.runs[ref]
-		if r != nil && r.under(key) {
+		if r != nil && r.heldBy(key) {
 			t.stopRun(now, r)
 		}
 	}
 }
 
-// expireUnowned ends what an earlier process left here of kept jobs, and no coordinator asks
-// about.
-func (t *Table) expireUnowned(now time.Time) {
+// lapseUnowned lets the backend server's lease lapse if an earlier process left runs or ends of
+// durable jobs that no coordinator has claimed.
+func (t *Table) lapseUnowned(now time.Time) {
 	for _, r := range t.runs {
 		if t.leases[r.lease] == nil {
 			t.lapse(now, "no_owner")
@@ -80,10 +80,10 @@
 	}
 }
 
-// holds returns whether anything under the lease is here.
-func (t *Table) holds(key leaseKey) bool {
+// hasWorkUnder returns whether there are runs or unstored ends under the lease.
+func (t *Table) hasWorkUnder(key leaseKey) bool {
 	for _, r := range t.runs {
-		if r.under(key) {
+		if r.heldBy(key) {
 			return true
 		}
 	}
@@ -95,24 +95,23 @@
 	return false
 }
 
-// lapse stops renewing the backend server's lease, so that it ends all it runs.
+// lapse stops renewing the backend server's lease, so that the backend server ends all runs.
 func (t *Table) lapse(now time.Time, reason string) {
 	t.lapsing = true
 	t.note(LeaseLapsing, wire.RunRef{}, reason)
-	t.touchOwners()
+	t.queueStatuses()
 	t.finishLapse(now)
 }
 
-// finishLapse ends all runs here once the backend server has certainly ended
-// them.
+// finishLapse ends all runs once the backend server has certainly ended them.
 func (t *Table) finishLapse(now time.Time) {
 	if !t.lapsing || now.Before(t.leaseEnds.Add(lapseMargin)) {
 		return
 	}
 	t.lapsing = false
 	t.note(LeaseLapsed, wire.RunRef{}, "")
-	if t.silent && t.refuses() {
-		t.giveUpLife(now, reasonRefused) // whatever it is, all that it ran is dead
+	if t.silent && t.isRefusing() {
+		t.giveUpIncarnation(now, reasonRefused) // all its runs are over, even if the process is alive
 		return
 	}
 	if t.silent {
@@ -123,23 +122,23 @@
 	for _, e := range t.ends {
 		e.stored = true
 	}
-	t.acknowledge()
+	t.acknowledgeStored()
 	t.effects.Renew = true
 	t.reportAll(now)
-	t.touchOwners()
+	t.queueStatuses()
 }
 
-// Resumed tells the table that the box was suspended for so long until now, which the time
-// counts. The backend server's clock may not have counted it: a lease that had not ended
-// before may last as much longer, and its clock may show as much less than we would think.
+// Resumed handles the end of a suspension of the box; now includes its duration. The backend
+// server's clock may have stood still meanwhile: a lease that had not expired before may last
+// that much longer, and the clock may be that far behind what is assumed here.
 func (t *Table) Resumed(now time.Time, suspended time.Duration) {
 	before := now.Add(-suspended)
 	if t.leaseEnds.After(before) {
 		t.leaseEnds = t.leaseEnds.Add(suspended)
 	}
 	for _, r := range t.runs {
-		if r.until.After(before) {
-			r.until = r.until.Add(suspended)
+		if r.inheritedUntil.After(before) {
+			r.inheritedUntil = r.inheritedUntil.Add(suspended)
 		}
 	}
 	t.clockAt = t.clockAt.Add(suspended)
