--- a/jobs/registration/registration.go
+++ b/jobs/registration/registration.go
@@ -89,7 +89,7 @@
 	if !r.recorded {
 		r.awaitReport(ctx)
 	}
-	if r.found && m.Same(&r.member) {
+	if r.found && m.Equal(&r.member) {
 		r.log.Info("registered_before", zap.String("address", m.Address))
 		return
 	}
--- a/jobs/scheduler/waits.go
+++ b/jobs/scheduler/waits.go
@@ -9,124 +9,126 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// wait is what waits for room of one priority, of the tasks that ask for about the same.
-type wait struct {
-	waitKey
+// waitingGroup is a group of tasks of one priority and of about the same need that wait for
+// capacity.
+type waitingGroup struct {
+	groupKey
 	first    *task
-	from, to time.Time         // turns of the first and the last task
-	need     durable.Resources // the most that one of them takes
+	from, to time.Time         // earliest and latest virtual deadline, as workers get them
+	need     durable.Resources // maximum over the tasks
 	tasks    int
 	work     float64 // thousandths of a core times nanoseconds
-	asked    int     // how many workers are asked
+	asked    int     // number of workers that are asked for it
 }
 
-// waitKey is what the tasks of a wait have in common. Those of jobs that have begun stand
-// apart, since their turns are far from the others'; so do those of other sizes, since room
-// for small ones may be where there is none for large ones.
-type waitKey struct {
+// groupKey is what the tasks of a group have in common. Jobs that have begun have groups of their
+// own, since their virtual deadlines are far from all others. So do tasks of different sizes, since
+// there may be capacity for small tasks where there is none for large ones.
+type groupKey struct {
 	priority int32
 	requires string // label
 	begun    bool
 	gpu      int64
-	size     int
+	size     int // sizeClass of the need of processor time
 }
 
-// sizeOf returns the size of a need of processor time, in steps of half a power of two.
-func sizeOf(milliCPU int64) int {
+// sizeClass returns the size class of a need of processor time. There are two for each power of two.
+func sizeClass(milliCPU int64) int {
 	n := bits.Len64(uint64(max(1, milliCPU)))
 	return 2*n + int(milliCPU>>max(0, n-2)&1)
 }
 
-// waitsOf returns what of the queue could be ordered with more room, first come first:
-// overdue tasks while no others are left, as in dispatch.
-func (c *Core) waitsOf(q *readyQueue) []wait {
-	if waits := c.waitsOfHeap(&q.onTime, (*task).turnOnTime); len(waits) > 0 {
-		return waits
+// groupsOf returns the groups of queued tasks that could be ordered with more capacity, the one with
+// the earliest virtual deadline first. Overdue tasks count only while no others are left.
+func (c *Core) groupsOf(q *readyQueue) []waitingGroup {
+	if groups := c.groupsOfHeap(&q.onTime, (*task).onTimeDeadline); len(groups) > 0 {
+		return groups
 	}
-	return c.waitsOfHeap(&q.overdue, (*task).turnOverdue)
+	return c.groupsOfHeap(&q.overdue, (*task).overdueDeadline)
 }
 
-func (c *Core) waitsOfHeap(q *taskHeap, turnOf func(*task) time.Time) []wait {
-	at := make(map[waitKey]int)
-	var out []wait
+func (c *Core) groupsOfHeap(q *taskHeap, deadlineOf func(*task) time.Time) []waitingGroup {
+	at := make(map[groupKey]int)
+	var out []waitingGroup
 	for _, t := range q.tasks {
 		if _, ok := c.epochOf(t.job); !ok {
 			continue
 		}
-		key := waitKey{t.job.sub.Queue.Priority, t.step.Requires, t.job.begun(), t.step.Need.GPU, sizeOf(t.step.Need.CPU)}
+		key := groupKey{t.job.sub.Queue.Priority, t.step.Requires, t.job.begun(), t.step.Need.GPU, sizeClass(t.step.Need.CPU)}
 		i, known := at[key]
 		if !known {
 			i = len(out)
 			at[key] = i
-			out = append(out, wait{waitKey: key})
+			out = append(out, waitingGroup{groupKey: key})
 		}
-		out[i].add(t, turnOf(t))
+		out[i].add(t, deadlineOf(t))
 	}
-	slices.SortFunc(out, func(a, b wait) int { return a.from.Compare(b.from) })
+	slices.SortFunc(out, func(a, b waitingGroup) int { return a.from.Compare(b.from) })
 	return out[:min(wire.MostWaits, len(out))]
 }
 
-func (k *wait) add(t *task, turn time.Time) {
-	if k.first == nil || turn.Before(k.from) {
-		k.first, k.from = t, turn
+func (g *waitingGroup) add(t *task, deadline time.Time) {
+	if g.first == nil || deadline.Before(g.from) {
+		g.first, g.from = t, deadline
 	}
-	if k.tasks == 0 || turn.After(k.to) {
-		k.to = turn
+	if g.tasks == 0 || deadline.After(g.to) {
+		g.to = deadline
 	}
-	k.need = k.need.Max(t.step.Need)
-	k.tasks++
-	k.work += t.work()
+	g.need = g.need.Max(t.step.Need)
+	g.tasks++
+	g.work += t.work()
 }
 
-// wanted returns how many workers are to be asked.
-func (k *wait) wanted() int { return max(leastAsked, askedATask*k.tasks) }
+// workersWanted returns how many workers should be asked for the group.
+func (g *waitingGroup) workersWanted() int { return max(minWorkersAsked, workersPerTask*g.tasks) }
 
-// spread returns at which of the workers it begins to be asked for, the same each time: waits
-// that ask for different things begin at different ones.
-func (k *wait) spread() int {
-	at := 3*k.size + 5*int(max(0, k.priority))
-	if k.begun {
-		at += leastAsked - 1
+// firstWorker returns the index of the first worker that is asked for the group. It is the same each
+// time, and differs between groups so that these are spread over the workers.
+func (g *waitingGroup) firstWorker() int {
+	at := 3*g.size + 5*int(max(0, g.priority))
+	if g.begun {
+		at += minWorkersAsked - 1
 	}
 	return at
 }
 
-// farOff sets the turns of jobs that have begun before all others, and those of overdue
-// tasks after them: it is more than any task waits.
-const farOff = 20 * time.Minute
+// categoryGap separates the virtual deadlines in capacity requests of jobs that have begun, of tasks
+// on time and of overdue tasks. It is longer than any task waits.
+const categoryGap = 20 * time.Minute
 
-// turnOnTime returns the turn of a task that is on time, as workers are told of it.
-func (t *task) turnOnTime() time.Time {
+// onTimeDeadline returns the virtual deadline of a task on time, as capacity requests name it.
+func (t *task) onTimeDeadline() time.Time {
 	if t.job.begun() {
-		return t.job.received.Add(-farOff)
+		return t.job.received.Add(-categoryGap)
 	}
 	return t.virtualDeadline()
 }
 
-// turnOverdue returns the same of an overdue one: the order is that of overdueBefore.
-func (t *task) turnOverdue() time.Time {
+// overdueDeadline returns the virtual deadline of an overdue task, as capacity requests name it. The
+// order is that of overdueBefore.
+func (t *task) overdueDeadline() time.Time {
 	if t.job.begun() {
-		return t.due.Add(farOff)
+		return t.due.Add(categoryGap)
 	}
-	return t.due.Add(2 * farOff)
+	return t.due.Add(2 * categoryGap)
 }
 
-// mayHave returns whether the first task of the wait may go to the worker when there is
-// room.
-func (w *worker) mayHave(k wait) bool {
-	return (w.confirmed || k.first.job.sub.BestEffort) && k.need.Fits(w.identity.Capacity) && allowed(k.first, w)
+// canServe returns whether the worker, once it has free capacity, may run the first task of the
+// group.
+func (w *worker) canServe(g waitingGroup) bool {
+	return (w.confirmed || g.first.job.sub.BestEffort) && g.need.Fits(w.identity.Capacity) && allowedOn(g.first, w)
 }
 
-// message returns the wait as a worker is told of it.
-func (k *wait) message(now time.Time) wire.RoomWait {
+// message returns the group as a capacity request names it. The work is one worker's share.
+func (g *waitingGroup) message(now time.Time) wire.RoomWait {
 	return wire.RoomWait{
 		WaitingWork: wire.WaitingWork{
-			Priority: k.priority,
-			FirstMS:  k.from.Sub(now).Milliseconds(),
-			LastMS:   k.to.Sub(now).Milliseconds(),
-			Work:     int64(k.work / float64(time.Millisecond) / float64(max(1, k.asked))),
+			Priority: g.priority,
+			FirstMS:  g.from.Sub(now).Milliseconds(),
+			LastMS:   g.to.Sub(now).Milliseconds(),
+			Work:     int64(g.work / float64(time.Millisecond) / float64(max(1, g.asked))),
 		},
-		Need:  k.need,
-		Tasks: uint32(k.tasks),
+		Need:  g.need,
+		Tasks: uint32(g.tasks),
 	}
 }
