--- a/jobs/coordinator/links.go
+++ b/jobs/coordinator/links.go
@@ -135,7 +135,7 @@
 		c.handleForwardReply(m)
 	case *wire.QueueCounts:
 		c.handleAnnouncement(now, dedup.Peer{Address: e.address, Incarnation: e.conn.Peer().Incarnation}, m)
-	case *wire.CrashNews:
+	case *wire.CrashReport:
 		c.core.RecordCrashes(now, m)
 	case *wire.HandOver:
 		c.requestJoin()
--- a/jobs/coordinator/perform.go
+++ b/jobs/coordinator/perform.go
@@ -42,7 +42,7 @@
 		c.reconnect(address)
 	}
 	if len(e.Crashes) > 0 {
-		c.broadcast(&wire.CrashNews{Crashes: e.Crashes})
+		c.broadcast(&wire.CrashReport{Crashes: e.Crashes})
 	}
 	for i := range e.Notes {
 		c.logNote(now, &e.Notes[i])
--- a/jobs/promises/coordinator_test.go
+++ b/jobs/promises/coordinator_test.go
@@ -410,7 +410,7 @@
 		}
 	}
 	if len(e.Crashes) > 0 {
-		n.tellCrashes(&wire.CrashNews{Crashes: e.Crashes})
+		n.tellCrashes(&wire.CrashReport{Crashes: e.Crashes})
 	}
 	for _, r := range e.Replies {
 		if call := n.calls[r.Call]; call != nil {
@@ -426,7 +426,7 @@
 }
 
 // tellCrashes tells the other coordinators that can be reached.
-func (n *coordinatorNode) tellCrashes(m *wire.CrashNews) {
+func (n *coordinatorNode) tellCrashes(m *wire.CrashReport) {
 	for _, o := range n.w.coordinators {
 		if o == n || !n.w.reaches(n.name, o.name) {
 			continue
--- a/jobs/promises/worker_test.go
+++ b/jobs/promises/worker_test.go
@@ -299,7 +299,7 @@
 		n.table.Heartbeat(n.now(), c.name, m)
 	case *wire.StartRuns:
 		n.table.Start(n.now(), c.name, m)
-	case *wire.RoomAsk:
+	case *wire.CapacityRequest:
 		n.w.counts["asks for room"]++
 		n.table.RequestCapacity(n.now(), c.name, m)
 	case *wire.StopRuns:
--- a/jobs/room/asks.go
+++ b/jobs/room/asks.go
@@ -46,7 +46,7 @@
 }
 
 // Request takes what waits at the owner, a coordinator by the name of its connection.
-func (t *Table) Request(now time.Time, owner string, m *wire.RoomAsk) {
+func (t *Table) Request(now time.Time, owner string, m *wire.CapacityRequest) {
 	t.OrderReceived(now, owner, m.Seen)
 	t.lapse(now)
 	a := t.askers[owner]
@@ -72,7 +72,7 @@
 
 func newWaits(now time.Time, owner string, rows []wire.RoomWait) []*wait {
 	var waits []*wait
-	for i := range rows[:min(len(rows), wire.MostWaits)] {
+	for i := range rows[:min(len(rows), wire.MaxWaits)] {
 		r := &rows[i]
 		w := &wait{
 			owner:    owner,
--- a/jobs/room/load_test.go
+++ b/jobs/room/load_test.go
@@ -44,7 +44,7 @@
 	at    int
 	seen  int64
 	turns []int
-	ask   *wire.RoomAsk
+	ask   *wire.CapacityRequest
 }
 
 // load is a worker and its coordinators.
@@ -87,7 +87,7 @@
 	}
 	if !l.race && l.ms%askEach == 0 && len(c.due) > 0 {
 		l.seq++
-		c.out = append(c.out, said{at: l.ms + c.far, seen: c.seen, ask: &wire.RoomAsk{Seq: l.seq, Seen: c.seen, Waits: []wire.RoomWait{{
+		c.out = append(c.out, said{at: l.ms + c.far, seen: c.seen, ask: &wire.CapacityRequest{Seq: l.seq, Seen: c.seen, Waits: []wire.RoomWait{{
 			WaitingWork: wire.WaitingWork{FirstMS: int64(c.due[0] - l.ms), LastMS: int64(c.due[len(c.due)-1] - l.ms)},
 			Need:        cores(1), Tasks: uint32(len(c.due)),
 		}}}})
--- a/jobs/room/random_test.go
+++ b/jobs/room/random_test.go
@@ -115,7 +115,7 @@
 	)
 	work := wire.WaitingWork{Priority: 2, FirstMS: -120, LastMS: 900, Work: 250_000}
 	reference := wire.RunRef{Task: durable.TaskID{Job: "5c0e7a21d94b36f8", Index: 3}, Run: 1}
-	ask := &wire.RoomAsk{Seq: 40_000, Seen: 1 << 40}
+	ask := &wire.CapacityRequest{Seq: 40_000, Seen: 1 << 40}
 	status := &wire.WorkerStatus{Stamp: 1 << 40, HeartbeatSeq: 40_000, StartSeq: 40_000, Ready: true, Free: cores(2), TimeFactor: 160, Slowness: 100}
 	bare := frame(g, status)
 	for range priorities {
--- a/jobs/room/room_test.go
+++ b/jobs/room/room_test.go
@@ -50,9 +50,9 @@
 }
 
 // ask sends an ask of the owner's, which has handled what it was told.
-func (f *fixture) ask(owner string, rows ...wire.RoomWait) *wire.RoomAsk {
+func (f *fixture) ask(owner string, rows ...wire.RoomWait) *wire.CapacityRequest {
 	f.seq++
-	m := &wire.RoomAsk{Seq: f.seq, Seen: f.seen[owner], Waits: rows}
+	m := &wire.CapacityRequest{Seq: f.seq, Seen: f.seen[owner], Waits: rows}
 	f.table.Request(f.now, owner, m)
 	return m
 }
--- a/jobs/runtable/shares.go
+++ b/jobs/runtable/shares.go
@@ -9,7 +9,7 @@
 )
 
 // RequestCapacity takes what waits for room at a coordinator.
-func (t *Table) RequestCapacity(now time.Time, name string, m *wire.RoomAsk) {
+func (t *Table) RequestCapacity(now time.Time, name string, m *wire.CapacityRequest) {
 	if t.owners[name] != nil {
 		t.room.Request(now, name, m)
 	}
--- a/jobs/runtable/shares_test.go
+++ b/jobs/runtable/shares_test.go
@@ -70,7 +70,7 @@
 // asks has the coordinator ask for so many runs of 1,500 thousandths of a core.
 func (n *neighbours) asks(name string, tasks uint32, turn int64) {
 	n.seq++
-	m := &wire.RoomAsk{Seq: n.seq, Seen: n.said[name].Stamp}
+	m := &wire.CapacityRequest{Seq: n.seq, Seen: n.said[name].Stamp}
 	if tasks > 0 {
 		m.Waits = []wire.RoomWait{{WaitingWork: wire.WaitingWork{FirstMS: turn, LastMS: turn, Work: 90}, Need: durable.Resources{CPU: 1500}, Tasks: tasks}}
 	}
@@ -169,7 +169,7 @@
 		n := newNeighbours()
 		for range 30 {
 			n.seq++
-			n.table.RequestCapacity(n.now, "b", &wire.RoomAsk{Seq: n.seq, Waits: []wire.RoomWait{{Need: durable.Resources{CPU: 4001}, Tasks: 1}}})
+			n.table.RequestCapacity(n.now, "b", &wire.CapacityRequest{Seq: n.seq, Waits: []wire.RoomWait{{Need: durable.Resources{CPU: 4001}, Tasks: 1}}})
 			n.hold(nil)
 			n.pass(10 * time.Millisecond)
 			n.perform()
--- a/jobs/scheduler/capacityrequests.go
+++ b/jobs/scheduler/capacityrequests.go
@@ -8,7 +8,7 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// When tasks of a service fit on no worker, the coordinator sends capacity requests (wire.RoomAsk)
+// When tasks of a service fit on no worker, the coordinator sends capacity requests (wire.CapacityRequest)
 // to some of the service's workers. A request lists the groups of tasks that wait. Each worker
 // collects the requests of all coordinators, reports its free capacity to the one whose task is first
 // in order, and reserves it for a moment (a grant, package room).
@@ -32,13 +32,13 @@
 
 // capacityRequest is the state of the request to one worker, over its present connection.
 type capacityRequest struct {
-	seq         uint64              // of the newest RoomAsk
+	seq         uint64              // of the newest CapacityRequest
 	seenStamp   int64               // Stamp of the newest status that the worker knows to be handled
-	active      bool                // the newest RoomAsk names tasks that wait
-	at          time.Time           // when the newest RoomAsk was sent
+	active      bool                // the newest CapacityRequest names tasks that wait
+	at          time.Time           // when the newest CapacityRequest was sent
 	first       time.Time           // the earliest virtual deadline that it names
 	needs       []durable.Resources // that it names
-	previous    []durable.Resources // needs of the RoomAsk before: a report of capacity for them may be on its way
+	previous    []durable.Resources // needs of the CapacityRequest before: a report of capacity for them may be on its way
 	reported    bool                // the worker has reported capacity for a need, and dispatch has not run since
 	pausedUntil time.Time           // no request is sent to the worker before
 }
@@ -271,7 +271,7 @@
 	r.at = now
 	r.active = len(groups) > 0
 	r.needs, r.previous = r.previous[:0], r.needs
-	m := &wire.RoomAsk{Seq: r.seq, Seen: r.seenStamp}
+	m := &wire.CapacityRequest{Seq: r.seq, Seen: r.seenStamp}
 	for i := range groups {
 		r.needs = append(r.needs, groups[i].need)
 		m.Waits = append(m.Waits, groups[i].message(now))
--- a/jobs/scheduler/capacityrequests_test.go
+++ b/jobs/scheduler/capacityrequests_test.go
@@ -14,10 +14,10 @@
 )
 
 // requests returns the newest capacity request that was sent to each worker.
-func requests(e scheduler.Effects) map[string]*wire.RoomAsk {
-	out := make(map[string]*wire.RoomAsk)
+func requests(e scheduler.Effects) map[string]*wire.CapacityRequest {
+	out := make(map[string]*wire.CapacityRequest)
 	for _, s := range e.Sends {
-		if m, ok := s.Message.(*wire.RoomAsk); ok {
+		if m, ok := s.Message.(*wire.CapacityRequest); ok {
 			out[s.Worker] = m
 		}
 	}
@@ -73,7 +73,7 @@
 
 	It("sends a request after the orders to the same worker", func() {
 		last := first.Sends[len(first.Sends)-1]
-		Expect(last.Message).To(BeAssignableToTypeOf(&wire.RoomAsk{}))
+		Expect(last.Message).To(BeAssignableToTypeOf(&wire.CapacityRequest{}))
 	})
 
 	It("sends no request when that is switched off", func() {
--- a/jobs/scheduler/crashes_test.go
+++ b/jobs/scheduler/crashes_test.go
@@ -104,7 +104,7 @@
 		Expect(news).To(HaveLen(1))
 		here.core.Abandon(here.now, 1, id)
 
-		elsewhere.core.RecordCrashes(elsewhere.now, &wire.CrashNews{Crashes: news})
+		elsewhere.core.RecordCrashes(elsewhere.now, &wire.CrashReport{Crashes: news})
 		for _, f := range []*fixture{here, elsewhere} {
 			f.status("w1", 4000)
 			f.core.Submit(f.now, 2, bestEffort(1), 0)
@@ -115,7 +115,7 @@
 	It("that was given up for it is not started when its caller sends it again", func() {
 		f := newFixture()
 		f.worker("w1")
-		f.core.RecordCrashes(f.now, &wire.CrashNews{Crashes: []wire.TaskCrash{{Task: durable.TaskID{Job: id}, Instance: "i", Begun: true, GivenUp: true}}})
+		f.core.RecordCrashes(f.now, &wire.CrashReport{Crashes: []wire.TaskCrash{{Task: durable.TaskID{Job: id}, Instance: "i", Begun: true, GivenUp: true}}})
 		f.core.Submit(f.now, 1, bestEffort(1), 0)
 		e := f.core.Take(f.now)
 		Expect(e.Replies).To(ConsistOf(HaveField("State", durable.Failed)))
--- a/jobs/scheduler/crashhistory.go
+++ b/jobs/scheduler/crashhistory.go
@@ -63,7 +63,7 @@
 }
 
 // RecordCrashes takes what another coordinator tells of crashes under best-effort jobs.
-func (c *Core) RecordCrashes(now time.Time, m *wire.CrashNews) {
+func (c *Core) RecordCrashes(now time.Time, m *wire.CrashReport) {
 	for _, crash := range m.Crashes {
 		c.rememberCrash(now, crash)
 	}
--- a/jobs/scheduler/loadworker_test.go
+++ b/jobs/scheduler/loadworker_test.go
@@ -110,7 +110,7 @@
 		w.stop(m)
 	case *wire.RunsQuery:
 		w.answer(k, m)
-	case *wire.RoomAsk:
+	case *wire.CapacityRequest:
 		w.p.part().requests++
 		w.room.Request(w.p.now, k.name, m)
 		w.shareCapacity(nil, false)
--- a/jobs/scheduler/silences_test.go
+++ b/jobs/scheduler/silences_test.go
@@ -62,7 +62,7 @@
 	It("is not started after its job was refused while the task was suspended", func() {
 		f := newFixture()
 		f.worker("w1")
-		f.core.RecordCrashes(f.now, &wire.CrashNews{Crashes: []wire.TaskCrash{
+		f.core.RecordCrashes(f.now, &wire.CrashReport{Crashes: []wire.TaskCrash{
 			{Task: durable.TaskID{Job: id}, Instance: "a", Suspected: true},
 			{Task: durable.TaskID{Job: id}, Instance: "b", Suspected: true},
 		}})
--- a/jobs/scheduler/waits.go
+++ b/jobs/scheduler/waits.go
@@ -64,7 +64,7 @@
 		out[i].add(t, deadlineOf(t))
 	}
 	slices.SortFunc(out, func(a, b waitingGroup) int { return a.from.Compare(b.from) })
-	return out[:min(wire.MostWaits, len(out))]
+	return out[:min(wire.MaxWaits, len(out))]
 }
 
 func (g *waitingGroup) add(t *task, deadline time.Time) {
--- a/jobs/worker/events.go
+++ b/jobs/worker/events.go
@@ -50,7 +50,7 @@
 		w.table.Heartbeat(now, from, m)
 	case *wire.StartRuns:
 		w.table.Start(now, from, m)
-	case *wire.RoomAsk:
+	case *wire.CapacityRequest:
 		w.table.RequestCapacity(now, from, m)
 	case *wire.StopRuns:
 		w.table.Stop(now, from, m)
--- a/wire/jobs.go
+++ b/wire/jobs.go
@@ -7,7 +7,7 @@
 )
 
 //go:generate go tool msgp -io=false -tests=false -file jobs.go -o jobs_gen.go
-//msgp:tuple PartitionEpoch OwnerHeartbeat Evacuations BackendIdentity WorkerStatus RunRef RunOrder RunEnd StartRuns StopRuns RunEnds EndsKept PartitionRuns JobCall JobReply QueueCount QueueCounts HandOver RunsQuery RunNeed RunNeeds TaskCrash CrashNews KeepAlive KeepAliveAck RecordedBackend RoomAsk RoomWait WaitingWork
+//msgp:tuple PartitionEpoch OwnerHeartbeat Evacuations BackendIdentity WorkerStatus RunRef RunOrder RunEnd StartRuns StopRuns RunEnds EndsKept PartitionRuns JobCall JobReply QueueCount QueueCounts HandOver RunsQuery RunNeed RunNeeds TaskCrash CrashReport KeepAlive KeepAliveAck RecordedBackend CapacityRequest RoomWait WaitingWork
 //msgp:limit arrays:65536
 
 // PartitionEpoch says that the sender owns a partition, with the fencing epoch
@@ -85,18 +85,18 @@
 	Work int64
 }
 
-// RoomAsk tells a worker what waits for room at a coordinator, because it fits nowhere
+// CapacityRequest tells a worker what waits for room at a coordinator, because it fits nowhere
 // now. It binds nobody: the worker tells the coordinator of free room in a status, in the
 // order of the turns of all who ask, and keeps that room for a moment (a grant). An ask
 // replaces the one before; one without Waits withdraws it.
-type RoomAsk struct {
-	Seq   uint64 // rises with each RoomAsk on a connection
+type CapacityRequest struct {
+	Seq   uint64 // rises with each CapacityRequest on a connection
 	Seen  int64  // the Stamp of the newest status that was handled: grants up to it are used as far as they can be
 	Waits []RoomWait
 }
 
-// MostWaits is how many Waits of a RoomAsk are taken, the first ones.
-const MostWaits = 8
+// MaxWaits is how many Waits of a CapacityRequest are taken, the first ones.
+const MaxWaits = 8
 
 // RoomWait is what waits of one priority, of about one size, and has begun or not: an ask may
 // have several of a priority.
@@ -190,7 +190,7 @@
 // StartRuns asks a worker to run tasks as soon as they fit.
 type StartRuns struct {
 	Seq  uint64 // rises with each StartRuns on a connection
-	Seen int64  // the Stamp of the newest status that was handled, as in RoomAsk
+	Seen int64  // the Stamp of the newest status that was handled, as in CapacityRequest
 	Runs []RunOrder
 }
 
@@ -299,9 +299,9 @@
 	Suspected bool
 }
 
-// CrashNews tells other coordinators of crashes under best-effort jobs: a caller without an
+// CrashReport tells other coordinators of crashes under best-effort jobs: a caller without an
 // answer may send the job again to any of them.
-type CrashNews struct {
+type CrashReport struct {
 	Crashes []TaskCrash
 }
 
--- a/wire/jobs_gen.go
+++ b/wire/jobs_gen.go
@@ -122,7 +122,110 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *CrashNews) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *CapacityRequest) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 3
+	o = append(o, 0x93)
+	o = msgp.AppendUint64(o, z.Seq)
+	o = msgp.AppendInt64(o, z.Seen)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Waits)))
+	for za0001 := range z.Waits {
+		// array header, size 3
+		o = append(o, 0x93)
+		o, err = z.Waits[za0001].WaitingWork.MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Waits", za0001, "WaitingWork")
+			return
+		}
+		o, err = z.Waits[za0001].Need.MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Waits", za0001, "Need")
+			return
+		}
+		o = msgp.AppendUint32(o, z.Waits[za0001].Tasks)
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *CapacityRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 3 {
+		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
+		return
+	}
+	z.Seq, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Seq")
+		return
+	}
+	z.Seen, bts, err = msgp.ReadInt64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Seen")
+		return
+	}
+	var zb0002 uint32
+	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Waits")
+		return
+	}
+	if zb0002 > z267f2b0elimitArrays {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	if cap(z.Waits) >= int(zb0002) {
+		z.Waits = (z.Waits)[:zb0002]
+	} else {
+		z.Waits = make([]RoomWait, zb0002)
+	}
+	for za0001 := range z.Waits {
+		var zb0003 uint32
+		zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Waits", za0001)
+			return
+		}
+		if zb0003 != 3 {
+			err = msgp.ArrayError{Wanted: 3, Got: zb0003}
+			return
+		}
+		bts, err = z.Waits[za0001].WaitingWork.UnmarshalMsg(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Waits", za0001, "WaitingWork")
+			return
+		}
+		bts, err = z.Waits[za0001].Need.UnmarshalMsg(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Waits", za0001, "Need")
+			return
+		}
+		z.Waits[za0001].Tasks, bts, err = msgp.ReadUint32Bytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Waits", za0001, "Tasks")
+			return
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *CapacityRequest) Msgsize() (s int) {
+	s = 1 + msgp.Uint64Size + msgp.Int64Size + msgp.ArrayHeaderSize
+	for za0001 := range z.Waits {
+		s += 1 + z.Waits[za0001].WaitingWork.Msgsize() + z.Waits[za0001].Need.Msgsize() + msgp.Uint32Size
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *CrashReport) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 1
 	o = append(o, 0x91)
@@ -138,7 +241,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *CrashNews) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *CrashReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -176,7 +279,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *CrashNews) Msgsize() (s int) {
+func (z *CrashReport) Msgsize() (s int) {
 	s = 1 + msgp.ArrayHeaderSize
 	for za0001 := range z.Crashes {
 		s += z.Crashes[za0001].Msgsize()
@@ -1184,109 +1287,6 @@
 	return
 }
 
-// MarshalMsg implements msgp.Marshaler
-func (z *RoomAsk) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 3
-	o = append(o, 0x93)
-	o = msgp.AppendUint64(o, z.Seq)
-	o = msgp.AppendInt64(o, z.Seen)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Waits)))
-	for za0001 := range z.Waits {
-		// array header, size 3
-		o = append(o, 0x93)
-		o, err = z.Waits[za0001].WaitingWork.MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Waits", za0001, "WaitingWork")
-			return
-		}
-		o, err = z.Waits[za0001].Need.MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Waits", za0001, "Need")
-			return
-		}
-		o = msgp.AppendUint32(o, z.Waits[za0001].Tasks)
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *RoomAsk) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 3 {
-		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
-		return
-	}
-	z.Seq, bts, err = msgp.ReadUint64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Seq")
-		return
-	}
-	z.Seen, bts, err = msgp.ReadInt64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Seen")
-		return
-	}
-	var zb0002 uint32
-	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Waits")
-		return
-	}
-	if zb0002 > z267f2b0elimitArrays {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	if cap(z.Waits) >= int(zb0002) {
-		z.Waits = (z.Waits)[:zb0002]
-	} else {
-		z.Waits = make([]RoomWait, zb0002)
-	}
-	for za0001 := range z.Waits {
-		var zb0003 uint32
-		zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Waits", za0001)
-			return
-		}
-		if zb0003 != 3 {
-			err = msgp.ArrayError{Wanted: 3, Got: zb0003}
-			return
-		}
-		bts, err = z.Waits[za0001].WaitingWork.UnmarshalMsg(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Waits", za0001, "WaitingWork")
-			return
-		}
-		bts, err = z.Waits[za0001].Need.UnmarshalMsg(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Waits", za0001, "Need")
-			return
-		}
-		z.Waits[za0001].Tasks, bts, err = msgp.ReadUint32Bytes(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Waits", za0001, "Tasks")
-			return
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *RoomAsk) Msgsize() (s int) {
-	s = 1 + msgp.Uint64Size + msgp.Int64Size + msgp.ArrayHeaderSize
-	for za0001 := range z.Waits {
-		s += 1 + z.Waits[za0001].WaitingWork.Msgsize() + z.Waits[za0001].Need.Msgsize() + msgp.Uint32Size
-	}
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z *RoomWait) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
--- a/wire/kinds.go
+++ b/wire/kinds.go
@@ -6,34 +6,34 @@
 
 // The kinds of message.
 const (
-	KindHello          Kind = 1
-	KindPlace          Kind = 2
-	KindCancel         Kind = 3
-	KindResults        Kind = 4
-	KindClaim          Kind = 5
-	KindClaimed        Kind = 6 // ClaimReply
-	KindFetch          Kind = 7
-	KindFetched        Kind = 8
-	KindPing           Kind = 9
-	KindLeave          Kind = 10 // LeaveAck
-	KindOwnerHeartbeat Kind = 11
-	KindWorkerStatus   Kind = 12
-	KindStartRuns      Kind = 13
-	KindStopRuns       Kind = 14
-	KindRunEnds        Kind = 15
-	KindEndsKept       Kind = 16
-	KindPartitionRuns  Kind = 17
-	KindJobCall        Kind = 18
-	KindJobReply       Kind = 19
-	KindQueueCounts    Kind = 20
-	KindHandOver       Kind = 21
-	KindRunsQuery      Kind = 22
-	KindRunNeeds       Kind = 23
-	KindKeepAlive      Kind = 24
-	KindKeepAliveAck   Kind = 25
-	KindCrashNews      Kind = 26
-	KindRecorded       Kind = 27 // RecordedBackend
-	KindRoomAsk        Kind = 28
+	KindHello           Kind = 1
+	KindPlace           Kind = 2
+	KindCancel          Kind = 3
+	KindResults         Kind = 4
+	KindClaim           Kind = 5
+	KindClaimReply      Kind = 6
+	KindFetch           Kind = 7
+	KindFetched         Kind = 8
+	KindPing            Kind = 9
+	KindLeaveAck        Kind = 10
+	KindOwnerHeartbeat  Kind = 11
+	KindWorkerStatus    Kind = 12
+	KindStartRuns       Kind = 13
+	KindStopRuns        Kind = 14
+	KindRunEnds         Kind = 15
+	KindEndsKept        Kind = 16
+	KindPartitionRuns   Kind = 17
+	KindJobCall         Kind = 18
+	KindJobReply        Kind = 19
+	KindQueueCounts     Kind = 20
+	KindHandOver        Kind = 21
+	KindRunsQuery       Kind = 22
+	KindRunNeeds        Kind = 23
+	KindKeepAlive       Kind = 24
+	KindKeepAliveAck    Kind = 25
+	KindCrashReport     Kind = 26
+	KindRecordedBackend Kind = 27
+	KindCapacityRequest Kind = 28
 )
 
 // kind is what a frame needs to know of a kind of message.
@@ -44,34 +44,34 @@
 
 // kinds holds every kind by its number; there is none of number 0.
 var kinds = [...]kind{
-	KindHello:          {"hello", func() Message { return &Hello{} }},
-	KindPlace:          {"place", func() Message { return &Place{} }},
-	KindCancel:         {"cancel", func() Message { return &Cancel{} }},
-	KindResults:        {"results", func() Message { return &Results{} }},
-	KindClaim:          {"claim", func() Message { return &Claim{} }},
-	KindClaimed:        {"claim_reply", func() Message { return &ClaimReply{} }},
-	KindFetch:          {"fetch", func() Message { return &Fetch{} }},
-	KindFetched:        {"fetched", func() Message { return &Fetched{} }},
-	KindPing:           {"ping", func() Message { return &Ping{} }},
-	KindLeave:          {"leave_ack", func() Message { return &LeaveAck{} }},
-	KindOwnerHeartbeat: {"owner_heartbeat", func() Message { return &OwnerHeartbeat{} }},
-	KindWorkerStatus:   {"worker_status", func() Message { return &WorkerStatus{} }},
-	KindStartRuns:      {"start_runs", func() Message { return &StartRuns{} }},
-	KindStopRuns:       {"stop_runs", func() Message { return &StopRuns{} }},
-	KindRunEnds:        {"run_ends", func() Message { return &RunEnds{} }},
-	KindEndsKept:       {"ends_kept", func() Message { return &EndsKept{} }},
-	KindPartitionRuns:  {"partition_runs", func() Message { return &PartitionRuns{} }},
-	KindJobCall:        {"job_call", func() Message { return &JobCall{} }},
-	KindJobReply:       {"job_reply", func() Message { return &JobReply{} }},
-	KindQueueCounts:    {"queue_counts", func() Message { return &QueueCounts{} }},
-	KindHandOver:       {"hand_over", func() Message { return &HandOver{} }},
-	KindRunsQuery:      {"claim_runs", func() Message { return &RunsQuery{} }},
-	KindRunNeeds:       {"run_needs", func() Message { return &RunNeeds{} }},
-	KindKeepAlive:      {"keep_alive", func() Message { return &KeepAlive{} }},
-	KindKeepAliveAck:   {"keep_alive_ack", func() Message { return &KeepAliveAck{} }},
-	KindCrashNews:      {"crash_news", func() Message { return &CrashNews{} }},
-	KindRecorded:       {"recorded_backend", func() Message { return &RecordedBackend{} }},
-	KindRoomAsk:        {"room_ask", func() Message { return &RoomAsk{} }},
+	KindHello:           {"hello", func() Message { return &Hello{} }},
+	KindPlace:           {"place", func() Message { return &Place{} }},
+	KindCancel:          {"cancel", func() Message { return &Cancel{} }},
+	KindResults:         {"results", func() Message { return &Results{} }},
+	KindClaim:           {"claim", func() Message { return &Claim{} }},
+	KindClaimReply:      {"claim_reply", func() Message { return &ClaimReply{} }},
+	KindFetch:           {"fetch", func() Message { return &Fetch{} }},
+	KindFetched:         {"fetched", func() Message { return &Fetched{} }},
+	KindPing:            {"ping", func() Message { return &Ping{} }},
+	KindLeaveAck:        {"leave_ack", func() Message { return &LeaveAck{} }},
+	KindOwnerHeartbeat:  {"owner_heartbeat", func() Message { return &OwnerHeartbeat{} }},
+	KindWorkerStatus:    {"worker_status", func() Message { return &WorkerStatus{} }},
+	KindStartRuns:       {"start_runs", func() Message { return &StartRuns{} }},
+	KindStopRuns:        {"stop_runs", func() Message { return &StopRuns{} }},
+	KindRunEnds:         {"run_ends", func() Message { return &RunEnds{} }},
+	KindEndsKept:        {"ends_kept", func() Message { return &EndsKept{} }},
+	KindPartitionRuns:   {"partition_runs", func() Message { return &PartitionRuns{} }},
+	KindJobCall:         {"job_call", func() Message { return &JobCall{} }},
+	KindJobReply:        {"job_reply", func() Message { return &JobReply{} }},
+	KindQueueCounts:     {"queue_counts", func() Message { return &QueueCounts{} }},
+	KindHandOver:        {"hand_over", func() Message { return &HandOver{} }},
+	KindRunsQuery:       {"claim_runs", func() Message { return &RunsQuery{} }},
+	KindRunNeeds:        {"run_needs", func() Message { return &RunNeeds{} }},
+	KindKeepAlive:       {"keep_alive", func() Message { return &KeepAlive{} }},
+	KindKeepAliveAck:    {"keep_alive_ack", func() Message { return &KeepAliveAck{} }},
+	KindCrashReport:     {"crash_news", func() Message { return &CrashReport{} }},
+	KindRecordedBackend: {"recorded_backend", func() Message { return &RecordedBackend{} }},
+	KindCapacityRequest: {"room_ask", func() Message { return &CapacityRequest{} }},
 }
 
 // String returns the kind's name, as used in metric labels.
@@ -126,8 +126,8 @@
 // WireKind returns KindClaim.
 func (*Claim) WireKind() Kind { return KindClaim }
 
-// WireKind returns KindClaimed.
-func (*ClaimReply) WireKind() Kind { return KindClaimed }
+// WireKind returns KindClaimReply.
+func (*ClaimReply) WireKind() Kind { return KindClaimReply }
 
 // WireKind returns KindFetch.
 func (*Fetch) WireKind() Kind { return KindFetch }
@@ -138,8 +138,8 @@
 // WireKind returns KindPing.
 func (*Ping) WireKind() Kind { return KindPing }
 
-// WireKind returns KindLeave.
-func (*LeaveAck) WireKind() Kind { return KindLeave }
+// WireKind returns KindLeaveAck.
+func (*LeaveAck) WireKind() Kind { return KindLeaveAck }
 
 // WireKind returns KindOwnerHeartbeat.
 func (*OwnerHeartbeat) WireKind() Kind { return KindOwnerHeartbeat }
@@ -186,11 +186,11 @@
 // WireKind returns KindKeepAliveAck.
 func (*KeepAliveAck) WireKind() Kind { return KindKeepAliveAck }
 
-// WireKind returns KindRecorded.
-func (*RecordedBackend) WireKind() Kind { return KindRecorded }
+// WireKind returns KindRecordedBackend.
+func (*RecordedBackend) WireKind() Kind { return KindRecordedBackend }
 
-// WireKind returns KindCrashNews.
-func (*CrashNews) WireKind() Kind { return KindCrashNews }
+// WireKind returns KindCrashReport.
+func (*CrashReport) WireKind() Kind { return KindCrashReport }
 
-// WireKind returns KindRoomAsk.
-func (*RoomAsk) WireKind() Kind { return KindRoomAsk }
+// WireKind returns KindCapacityRequest.
+func (*CapacityRequest) WireKind() Kind { return KindCapacityRequest }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -48,9 +48,9 @@
 		&wire.KeepAlive{},
 		&wire.KeepAliveAck{},
 		&wire.RunsQuery{Runs: []wire.RunRef{someRun}},
-		&wire.CrashNews{Crashes: []wire.TaskCrash{{Task: someRun.Task, Instance: "i", Begun: true, GivenUp: true}}},
+		&wire.CrashReport{Crashes: []wire.TaskCrash{{Task: someRun.Task, Instance: "i", Begun: true, GivenUp: true}}},
 		&wire.RecordedBackend{Instance: "i", Born: 1764700000000, Service: "s", Ready: true, Labels: []string{"a"}},
-		&wire.RoomAsk{Seq: 4, Seen: 77, Waits: []wire.RoomWait{{WaitingWork: wire.WaitingWork{Priority: 1, FirstMS: -20, LastMS: 90, Work: 1200}, Need: durable.Resources{CPU: 1500, Memory: 64}, Tasks: 3}}},
+		&wire.CapacityRequest{Seq: 4, Seen: 77, Waits: []wire.RoomWait{{WaitingWork: wire.WaitingWork{Priority: 1, FirstMS: -20, LastMS: 90, Work: 1200}, Need: durable.Resources{CPU: 1500, Memory: 64}, Tasks: 3}}},
 		&wire.RunNeeds{Runs: []wire.RunNeed{{Ref: someRun, Need: durable.Resources{CPU: 1500, Memory: 64}}}},
 	}
 }
