--- a/commands/daemon.go
+++ b/commands/daemon.go
@@ -49,7 +49,7 @@
 // operate serves the operators' endpoints of a daemon, and what it says of itself.
 func operate(listen string, reg *metrics.Registry, log *logging.Log, o *overview) (*web.Server, error) {
 	e := web.NewEcho()
-	web.Operate(e, reg.Handler, log.Level)
+	web.AddOperatorEndpoints(e, reg.Handler, log.Level)
 	e.GET("/v1/state", o.serve)
 	return web.Listen(listen, e, web.DefaultLimits())
 }
--- a/config/jobroles.go
+++ b/config/jobroles.go
@@ -39,14 +39,14 @@
 
 // Worker is the file of a worker.
 type Worker struct {
-	Box     Box          `json:"box"`
-	Admin   Admin        `json:"admin"`
-	Peers   Peers        `json:"peers"`
-	Store   StoreAddress `json:"store"`
-	Backend Beside       `json:"backend"`
-	Runs    Runs         `json:"runs"`
-	Process Process      `json:"process"`
-	Log     Log          `json:"log"`
+	Box     Box           `json:"box"`
+	Admin   Admin         `json:"admin"`
+	Peers   Peers         `json:"peers"`
+	Store   StoreAddress  `json:"store"`
+	Backend WorkerBackend `json:"backend"`
+	Runs    Runs          `json:"runs"`
+	Process Process       `json:"process"`
+	Log     Log           `json:"log"`
 }
 
 // DefaultWorker returns the defaults of Worker. It lacks store.address,
--- a/config/serving.go
+++ b/config/serving.go
@@ -30,8 +30,8 @@
 	Address string `json:"address"`
 }
 
-// Beside is the worker's section on its backend server.
-type Beside struct {
+// WorkerBackend is the worker's section on its backend server.
+type WorkerBackend struct {
 	Address string `json:"address"` // where the backend server takes orders
 	Listen  string `json:"listen"`  // where it sends its heartbeats
 }
@@ -49,7 +49,7 @@
 
 func (s *StoreAddress) check(c *checker) { c.address("store.address", s.Address) }
 
-func (b *Beside) check(c *checker) {
+func (b *WorkerBackend) check(c *checker) {
 	c.address("backend.address", b.Address)
 	c.address("backend.listen", b.Listen)
 }
--- a/jobs/coordinator/coordinator.go
+++ b/jobs/coordinator/coordinator.go
@@ -162,7 +162,7 @@
 // run starts the goroutines, after c.peers and c.ctx have been set.
 func (c *Coordinator) run() {
 	c.peers.Serve(c.hello, inbound{c})
-	go c.loop.Run(c.ctx.Done(), tickInterval, loop.Steps[event]{Clock: c.clock, Resumed: c.resumed, Late: c.stalled, Handle: c.handle, Tick: c.tick, Perform: c.perform})
+	go c.loop.Run(c.ctx.Done(), tickInterval, loop.Steps[event]{Clock: c.clock, Resumed: c.resumed, Stalled: c.stalled, Handle: c.handle, Tick: c.tick, Perform: c.perform})
 	go c.joinLoop()
 	go c.followMembers()
 	go c.store.WatchOperators(c.ctx, operatorsRetryPause, c.handleOperatorUpdate)
--- a/jobs/coordinator/group.go
+++ b/jobs/coordinator/group.go
@@ -73,7 +73,7 @@
 // It returns false if the control goroutine still waits for appends to the store, and true if the
 // loop has ended instead.
 func (c *Coordinator) leaveGroup() bool {
-	released, running := loop.Ask(c.loop, func(answer chan<- bool) event { return leaveRequested{answer} })
+	released, running := loop.Call(c.loop, func(answer chan<- bool) event { return leaveRequested{answer} })
 	if !running {
 		return true
 	}
--- a/jobs/coordinator/links.go
+++ b/jobs/coordinator/links.go
@@ -26,7 +26,7 @@
 func (c *Coordinator) connect(now time.Time, address string, role wire.Role) {
 	ctx, stop := context.WithCancel(c.ctx)
 	c.links[address] = &link{role: role, stop: stop, changed: now}
-	go peer.Keep(ctx, address, c.linkOptions(role), c.hello, outbound{c, address})
+	go peer.KeepConnected(ctx, address, c.linkOptions(role), c.hello, outbound{c, address})
 }
 
 // linkOptions returns the options of connections to processes of the role. Workers need no
--- a/jobs/coordinator/overview.go
+++ b/jobs/coordinator/overview.go
@@ -35,7 +35,7 @@
 
 // Overview returns the status of the coordinator; ok is false after Close.
 func (c *Coordinator) Overview() (o Overview, ok bool) {
-	return loop.Ask(c.loop, func(answer chan<- Overview) event { return overviewRequested{answer} })
+	return loop.Call(c.loop, func(answer chan<- Overview) event { return overviewRequested{answer} })
 }
 
 func (c *Coordinator) overview(now time.Time) Overview {
--- a/jobs/promises/nodes_test.go
+++ b/jobs/promises/nodes_test.go
@@ -84,7 +84,7 @@
 	now := p.now()
 	before := p.lookedAt
 	p.lookedAt = now
-	if by := now.Sub(before) - tickEvery; !before.IsZero() && by >= loop.LateLeast {
+	if by := now.Sub(before) - tickEvery; !before.IsZero() && by >= loop.MinStall {
 		p.wasLate(now, by)
 	}
 }
--- a/jobs/worker/overview.go
+++ b/jobs/worker/overview.go
@@ -23,5 +23,5 @@
 
 // Overview returns what the worker says of itself to operators; ok is false after its end.
 func (w *Worker) Overview() (o Overview, ok bool) {
-	return loop.Ask(w.loop, func(answer chan<- Overview) event { return overviewWanted{answer} })
+	return loop.Call(w.loop, func(answer chan<- Overview) event { return overviewWanted{answer} })
 }
--- a/jobs/worker/renew.go
+++ b/jobs/worker/renew.go
@@ -79,7 +79,7 @@
 }
 
 func (w *Worker) nextRenewal() renewal {
-	n, _ := loop.Ask(w.loop, func(answer chan<- renewal) event { return renewalWanted{answer} })
+	n, _ := loop.Call(w.loop, func(answer chan<- renewal) event { return renewalWanted{answer} })
 	return n // not ok after the end of the loop
 }
 
--- a/jobs/worker/worker.go
+++ b/jobs/worker/worker.go
@@ -127,7 +127,7 @@
 
 // run starts the goroutines.
 func (w *Worker) run() {
-	go w.loop.Run(w.halt.Done(), tickEvery, loop.Steps[event]{Clock: w.clock, Resumed: w.resumed, Late: w.late, Handle: w.handle, Tick: w.table.Tick, Perform: w.perform})
+	go w.loop.Run(w.halt.Done(), tickEvery, loop.Steps[event]{Clock: w.clock, Resumed: w.resumed, Stalled: w.late, Handle: w.handle, Tick: w.table.Tick, Perform: w.perform})
 	w.peers.Serve(w.hello, handler{w})
 	go w.keepRenewing()
 	go w.keepRegistered()
--- a/lib/loop/loop.go
+++ b/lib/loop/loop.go
@@ -13,9 +13,9 @@
 // core.
 const resumedLeast = 5 * time.Millisecond
 
-// LateLeast is how late a loop has to be for Steps.Late. Half of the shortest limit that other
+// MinStall is how late a loop has to be for Steps.Stalled. Half of the shortest limit that other
 // processes set on what a process says.
-const LateLeast = 100 * time.Millisecond
+const MinStall = 100 * time.Millisecond
 
 // Clock tells the time of a loop's steps.
 type Clock interface {
@@ -39,10 +39,10 @@
 	// Resumed is called before anything else that happens after the box was suspended for
 	// so long; nil if that is nothing to the process.
 	Resumed func(now time.Time, suspended time.Duration)
-	// Late is called before anything else that happens after the goroutine has looked at the
-	// time for so much longer than a tick, LateLeast or more: a step took long, or the process
+	// Stalled is called before anything else that happens after the goroutine has looked at the
+	// time for so much longer than a tick, MinStall or more: a step took long, or the process
 	// was held up. nil if that is nothing to the process.
-	Late    func(now time.Time, by time.Duration)
+	Stalled func(now time.Time, by time.Duration)
 	Handle  func(now time.Time, e E)
 	Tick    func(now time.Time) // every so often
 	Perform func(now time.Time) // after events or a tick: do what was decided
@@ -91,8 +91,8 @@
 	now := l.read(s)
 	before := l.lookedAt
 	l.lookedAt = now
-	if by := now.Sub(before) - l.every; s.Late != nil && !before.IsZero() && by >= LateLeast {
-		s.Late(now, by)
+	if by := now.Sub(before) - l.every; s.Stalled != nil && !before.IsZero() && by >= MinStall {
+		s.Stalled(now, by)
 	}
 	return now
 }
@@ -124,9 +124,9 @@
 	}
 }
 
-// Ask posts the event that question makes and returns the answer to it; ok is
+// Call posts the event that question makes and returns the answer to it; ok is
 // false when the loop has ended instead.
-func Ask[E, R any](l *Loop[E], question func(answer chan<- R) E) (r R, ok bool) {
+func Call[E, R any](l *Loop[E], question func(answer chan<- R) E) (r R, ok bool) {
 	answer := make(chan R, 1)
 	l.Post(question(answer))
 	select {
--- a/lib/loop/loop_test.go
+++ b/lib/loop/loop_test.go
@@ -43,7 +43,7 @@
 			Perform: func(time.Time) {},
 		})
 		for range 2 {
-			loop.Ask(l, func(answer chan<- int) event { return event{answer: answer} })
+			loop.Call(l, func(answer chan<- int) event { return event{answer: answer} })
 		}
 		close(halt)
 		<-l.Done()
@@ -55,8 +55,8 @@
 		halt := make(chan struct{})
 		var seen []string
 		go l.Run(halt, time.Millisecond, loop.Steps[event]{
-			Late: func(_ time.Time, by time.Duration) {
-				Expect(by).To(BeNumerically(">=", loop.LateLeast))
+			Stalled: func(_ time.Time, by time.Duration) {
+				Expect(by).To(BeNumerically(">=", loop.MinStall))
 				seen = append(seen, "late")
 			},
 			Handle: func(_ time.Time, e event) {
@@ -67,9 +67,9 @@
 			Tick:    func(time.Time) {},
 			Perform: func(time.Time) {},
 		})
-		hold := 2 * int(loop.LateLeast.Milliseconds())
+		hold := 2 * int(loop.MinStall.Milliseconds())
 		for _, ms := range []int{hold, 0} {
-			loop.Ask(l, func(answer chan<- int) event { return event{n: ms, answer: answer} })
+			loop.Call(l, func(answer chan<- int) event { return event{n: ms, answer: answer} })
 		}
 		close(halt)
 		<-l.Done()
@@ -96,7 +96,7 @@
 			l.Post(event{n: i})
 		}
 		question := func(answer chan<- int) event { return event{answer: answer} }
-		n, ok := loop.Ask(l, question)
+		n, ok := loop.Call(l, question)
 		Expect(ok).To(BeTrue())
 		Expect(n).To(Equal(100))
 		close(halt)
@@ -104,7 +104,7 @@
 		Expect(seen).To(HaveLen(100))
 		Expect(seen[99]).To(Equal(99))
 		Expect(performed).To(BeNumerically(">=", max(1, ticks)))
-		_, ok = loop.Ask(l, question)
+		_, ok = loop.Call(l, question)
 		Expect(ok).To(BeFalse())
 		for range 100 {
 			l.Post(event{}) // does not block
--- a/lib/peer/link.go
+++ b/lib/peer/link.go
@@ -35,9 +35,9 @@
 	return retry.Backoff{Base: firstDialLimit, Max: lastDialLimit}.Doubled(attempt)
 }
 
-// Keep holds a connection to addr until ctx ends, dialling again whenever it
+// KeepConnected holds a connection to addr until ctx ends, dialling again whenever it
 // breaks. hello is called for each connection.
-func Keep(ctx context.Context, addr string, opts Options, hello func() *wire.Hello, h Handler) {
+func KeepConnected(ctx context.Context, addr string, opts Options, hello func() *wire.Hello, h Handler) {
 	opts = opts.withDefaults()
 	reconnect := retry.Backoff{Base: reconnectBase, Max: opts.ReconnectMax}
 	for attempt := 0; ctx.Err() == nil; attempt++ {
--- a/lib/peer/peer_test.go
+++ b/lib/peer/peer_test.go
@@ -75,7 +75,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			peer.Keep(ctx, l.Addr(), peer.Options{Counter: counter{client}, MaxFrame: 1 << 16, Backlog: 100}, hello(offset), client)
+			peer.KeepConnected(ctx, l.Addr(), peer.Options{Counter: counter{client}, MaxFrame: 1 << 16, Backlog: 100}, hello(offset), client)
 		}()
 		DeferCleanup(func() { cancel(); <-done })
 		return l
@@ -134,7 +134,7 @@
 		go func() {
 			defer close(done)
 			opts := peer.Options{Counter: counter{client}, AckLimit: 100 * time.Millisecond}
-			peer.Keep(ctx, r.address(), opts, hello(0), client)
+			peer.KeepConnected(ctx, r.address(), opts, hello(0), client)
 		}()
 		DeferCleanup(func() { cancel(); <-done })
 		Eventually(client.up, long).Should(Equal(1))
@@ -158,7 +158,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			peer.Keep(ctx, l.Addr(), peer.Options{Counter: counter{client}, AckLimit: time.Second}, hello(0), client)
+			peer.KeepConnected(ctx, l.Addr(), peer.Options{Counter: counter{client}, AckLimit: time.Second}, hello(0), client)
 		}()
 		DeferCleanup(func() { cancel(); <-done })
 		Eventually(client.up, long).Should(Equal(1))
--- a/lib/web/web.go
+++ b/lib/web/web.go
@@ -77,17 +77,17 @@
 // Close stops the server at once.
 func (s *Server) Close() { _ = s.srv.Close() }
 
-// Operate adds the endpoints that every daemon has: health, metrics, and the
+// AddOperatorEndpoints adds the endpoints that every daemon has: health, metrics, and the
 // log level (GET, or PUT {"level":"debug"}).
-func Operate(e *echo.Echo, metrics, level http.Handler) {
+func AddOperatorEndpoints(e *echo.Echo, metrics, level http.Handler) {
 	e.GET("/health", func(c echo.Context) error { return c.String(http.StatusOK, "alive\n") })
 	e.GET("/metrics", echo.WrapHandler(metrics))
 	e.Any("/v1/log-level", echo.WrapHandler(level))
 }
 
-// Read reads the JSON body of a request into v. When it cannot, it has answered
+// ReadJSON reads the JSON body of a request into v. When it cannot, it has answered
 // the request, and ok is false.
-func Read(c echo.Context, v any) (ok bool, err error) {
+func ReadJSON(c echo.Context, v any) (ok bool, err error) {
 	if err := json.NewDecoder(c.Request().Body).Decode(v); err != nil {
 		return false, c.String(http.StatusBadRequest, err.Error()+"\n")
 	}
--- a/submissions/agent/admin.go
+++ b/submissions/agent/admin.go
@@ -34,7 +34,7 @@
 
 func startAdmin(a *Agent) (*adminServer, error) {
 	e := web.NewEcho()
-	web.Operate(e, a.registry.Handler, a.log.Level)
+	web.AddOperatorEndpoints(e, a.registry.Handler, a.log.Level)
 	e.GET("/v1/state", func(c echo.Context) error { return c.JSON(http.StatusOK, a.askState()) })
 	e.GET("/ready", func(c echo.Context) error {
 		if s := a.askState(); s.Leaving {
@@ -58,7 +58,7 @@
 func (s *adminServer) close() { s.srv.Close() }
 
 func (a *Agent) askState() State {
-	s, ok := loop.Ask(a.loop, func(answer chan<- State) event { return event{kind: evState, state: answer} })
+	s, ok := loop.Call(a.loop, func(answer chan<- State) event { return event{kind: evState, state: answer} })
 	if !ok {
 		return State{Leaving: true}
 	}
--- a/submissions/entry/api.go
+++ b/submissions/entry/api.go
@@ -17,7 +17,7 @@
 func (e *Entry) routes() http.Handler {
 	r := web.NewEcho()
 	r.HTTPErrorHandler = answerHTTPError
-	web.Operate(r, e.registry.Handler, e.log.Level)
+	web.AddOperatorEndpoints(r, e.registry.Handler, e.log.Level)
 	r.POST("/v1/submissions", e.submit)
 	r.GET("/v1/submissions/:id", e.lookup)
 	r.GET("/v1/ids", e.ids)
--- a/submissions/entry/ids.go
+++ b/submissions/entry/ids.go
@@ -32,7 +32,7 @@
 		f := failure.InField(failure.BadRequest, "count", "not a number in range", fmt.Sprintf("1 to %d", maxIDs))
 		return respond(c, job.Refusal("", f, failure.NotRun))
 	}
-	ids, ok := loop.Ask(e.loop, func(answer chan<- []string) event { return event{kind: evIDs, count: n, ids: answer} })
+	ids, ok := loop.Call(e.loop, func(answer chan<- []string) event { return event{kind: evIDs, count: n, ids: answer} })
 	if !ok {
 		return respond(c, job.Refusal("", failure.New(failure.Stopping, "the entry ended"), failure.NotRun))
 	}
--- a/submissions/entry/links.go
+++ b/submissions/entry/links.go
@@ -26,7 +26,7 @@
 	}
 	ctx, stop := context.WithCancel(e.halt)
 	e.links[addr] = &link{stop: stop}
-	go peer.Keep(ctx, addr, e.peerOpts, e.hello, outbound{e, addr})
+	go peer.KeepConnected(ctx, addr, e.peerOpts, e.hello, outbound{e, addr})
 }
 
 func (e *Entry) drop(addr string) {
--- a/submissions/entry/state.go
+++ b/submissions/entry/state.go
@@ -34,7 +34,7 @@
 }
 
 func (e *Entry) ask() (s State, ok bool) {
-	return loop.Ask(e.loop, func(answer chan<- State) event { return event{kind: evState, state: answer} })
+	return loop.Call(e.loop, func(answer chan<- State) event { return event{kind: evState, state: answer} })
 }
 
 func (e *Entry) askState() State {
--- a/submissions/fakebackend/backend.go
+++ b/submissions/fakebackend/backend.go
@@ -122,7 +122,7 @@
 
 func (b *Backend) setFaults(c echo.Context) error {
 	var f Faults
-	if ok, err := web.Read(c, &f); !ok {
+	if ok, err := web.ReadJSON(c, &f); !ok {
 		return err
 	}
 	b.SetFaults(f)
--- a/submissions/fakeboxlist/boxlist.go
+++ b/submissions/fakeboxlist/boxlist.go
@@ -121,7 +121,7 @@
 
 func (l *List) postFaults(c echo.Context) error {
 	var f Faults
-	if ok, err := web.Read(c, &f); !ok {
+	if ok, err := web.ReadJSON(c, &f); !ok {
 		return err
 	}
 	l.SetFaults(f)
@@ -130,7 +130,7 @@
 
 func (l *List) postBoxes(c echo.Context) error {
 	var boxes []membership.Box
-	if ok, err := web.Read(c, &boxes); !ok {
+	if ok, err := web.ReadJSON(c, &boxes); !ok {
 		return err
 	}
 	l.SetBoxes(boxes)
