--- a/config/copies.go
+++ b/config/dedup.go
@@ -6,30 +6,30 @@
 	"github.com/lichenfall/lichenfall/jobs/dedup"
 )
 
-// Copies is the section on best-effort jobs that come to several coordinators.
-type Copies struct {
+// Dedup is the section on best-effort jobs that come to several coordinators.
+type Dedup struct {
 	// ResendAfter is the least time after which a caller without an answer sends its job
 	// again; the users' platform sets it.
 	ResendAfter Duration `json:"resend_after"`
-	// Greeting is how long a coordinator that has just begun waits to hear which jobs others
+	// StartupWait is how long a coordinator that has just begun waits to hear which jobs others
 	// have, once it knows them. Some times what a connection takes; callers wait as long.
-	Greeting Duration `json:"greeting"`
+	StartupWait Duration `json:"greeting"`
 }
 
-// DefaultCopies returns the defaults of Copies.
-func DefaultCopies() Copies {
-	return Copies{
+// DefaultDedup returns the defaults of Dedup.
+func DefaultDedup() Dedup {
+	return Dedup{
 		ResendAfter: Duration(1300 * time.Millisecond),
-		Greeting:    Duration(300 * time.Millisecond),
+		StartupWait: Duration(300 * time.Millisecond),
 	}
 }
 
-func (c *Copies) check(k *checker) {
+func (c *Dedup) check(k *checker) {
 	k.span("copies.resend_after", c.ResendAfter, Duration(100*time.Millisecond), Duration(10*time.Minute))
-	k.span("copies.greeting", c.Greeting, 0, c.ResendAfter)
+	k.span("copies.greeting", c.StartupWait, 0, c.ResendAfter)
 }
 
 // Core returns the settings of a table of copies, where the scheduler's leases are those given.
-func (c *Copies) Core(s *Scheduler) dedup.Settings {
-	return dedup.Settings{ResendAfter: c.ResendAfter.D(), RunsEndWithin: s.writeOff(s.BestEffortLease), StartupWait: c.Greeting.D()}
+func (c *Dedup) Core(s *Scheduler) dedup.Settings {
+	return dedup.Settings{ResendAfter: c.ResendAfter.D(), RunsEndWithin: s.writeOff(s.BestEffortLease), StartupWait: c.StartupWait.D()}
 }
--- a/config/jobroles.go
+++ b/config/jobroles.go
@@ -8,7 +8,7 @@
 	Peers     Peers        `json:"peers"`
 	Store     StoreAddress `json:"store"`
 	Ownership Ownership    `json:"ownership"`
-	Copies    Copies       `json:"copies"`
+	Dedup     Dedup        `json:"copies"`
 	Subset    Subset       `json:"subset"`
 	Scheduler Scheduler    `json:"scheduler"`
 	Process   Process      `json:"process"`
@@ -24,7 +24,7 @@
 		Admin:     DefaultAdmin(),
 		Peers:     DefaultPeers(),
 		Ownership: DefaultOwnership(),
-		Copies:    DefaultCopies(),
+		Dedup:     DefaultDedup(),
 		Subset:    DefaultSubset(),
 		Scheduler: DefaultScheduler(),
 		Process:   DefaultProcess(),
--- a/config/runs.go
+++ b/config/runs.go
@@ -23,51 +23,51 @@
 	// BackendLease is the longest lease that the backend server grants; the users'
 	// platform sets it. No more than leaseAsked is asked for.
 	BackendLease Duration `json:"hold_lease"`
-	// RenewWait is how long a renewal of that lease may wait for news while something runs
+	// ShortRenewWait is how long a renewal of that lease may wait for news while something runs
 	// and calls go unanswered. One without an answer makes the worker deaf for so long and
 	// RenewLimit more: with 100 and 60 ms, four times as many jobs were late while a
 	// fifteenth of the calls had no answer.
-	RenewWait Duration `json:"hold_renew"`
-	// CalmRenewWait is the same at any other time. A tenth of the lease.
-	CalmRenewWait Duration `json:"calm_renew"`
-	// RenewPatience is how long the answer to a renewal may take beyond its wait before
+	ShortRenewWait Duration `json:"hold_renew"`
+	// LongRenewWait is the same at any other time. A tenth of the lease.
+	LongRenewWait Duration `json:"calm_renew"`
+	// RenewOverdueAfter is how long the answer to a renewal may take beyond its wait before
 	// another is made beside it: a renewal that is lost makes the worker deaf for so long and
 	// not for RenewLimit. Some ten times what an answer takes.
-	RenewPatience Duration `json:"renew_patience"`
+	RenewOverdueAfter Duration `json:"renew_patience"`
 	// RenewLimit is for the answer to a renewal, beyond its wait; it doubles after each
 	// that had none, up to CallLimit.
 	RenewLimit Duration `json:"renew_limit"`
-	// Silence is how long the backend server may give no answer before it is called silent. A
+	// SilentAfter is how long the backend server may give no answer before it is called silent. A
 	// quarter of the lease, and many renewals.
-	Silence Duration `json:"silence"`
+	SilentAfter Duration `json:"silence"`
 	// StartLimit is when an unanswered start is stopped. Well within the 2 to 12 s in which it
 	// may still be carried out.
 	StartLimit Duration `json:"start_limit"`
 	// CallLimit is for one call of the backend server. Some twenty times what one takes.
 	CallLimit Duration `json:"call_limit"`
-	// FirstLease is how long a fresh process waits for the owners of what it adopted. A
+	// AdoptionTimeout is how long a fresh process waits for the owners of what it adopted. A
 	// heartbeat and some.
-	FirstLease Duration `json:"first_lease"`
-	Room       Room     `json:"room"`
+	AdoptionTimeout Duration `json:"first_lease"`
+	Room            Room     `json:"room"`
 }
 
 // DefaultRuns returns the defaults of Runs.
 func DefaultRuns() Runs {
 	return Runs{
-		Partitions:      8,
-		OwnerLease:      Duration(1600 * time.Millisecond),
-		BestEffortLease: Duration(800 * time.Millisecond),
-		StopGrace:       Duration(200 * time.Millisecond),
-		BackendLease:    Duration(time.Second),
-		RenewWait:       Duration(20 * time.Millisecond),
-		CalmRenewWait:   Duration(100 * time.Millisecond),
-		RenewPatience:   Duration(8 * time.Millisecond),
-		RenewLimit:      Duration(30 * time.Millisecond),
-		Silence:         Duration(260 * time.Millisecond),
-		StartLimit:      Duration(700 * time.Millisecond),
-		CallLimit:       Duration(60 * time.Millisecond),
-		FirstLease:      Duration(250 * time.Millisecond),
-		Room:            DefaultRoom(),
+		Partitions:        8,
+		OwnerLease:        Duration(1600 * time.Millisecond),
+		BestEffortLease:   Duration(800 * time.Millisecond),
+		StopGrace:         Duration(200 * time.Millisecond),
+		BackendLease:      Duration(time.Second),
+		ShortRenewWait:    Duration(20 * time.Millisecond),
+		LongRenewWait:     Duration(100 * time.Millisecond),
+		RenewOverdueAfter: Duration(8 * time.Millisecond),
+		RenewLimit:        Duration(30 * time.Millisecond),
+		SilentAfter:       Duration(260 * time.Millisecond),
+		StartLimit:        Duration(700 * time.Millisecond),
+		CallLimit:         Duration(60 * time.Millisecond),
+		AdoptionTimeout:   Duration(250 * time.Millisecond),
+		Room:              DefaultRoom(),
 	}
 }
 
@@ -78,14 +78,14 @@
 	c.span("runs.best_effort_lease", r.BestEffortLease, Duration(100*time.Millisecond), 60*second)
 	c.span("runs.stop_grace", r.StopGrace, 0, 10*second)
 	c.span("runs.hold_lease", r.BackendLease, Duration(100*time.Millisecond), 60*second)
-	c.span("runs.hold_renew", r.RenewWait, Duration(5*time.Millisecond), r.BackendLease/2)
-	c.span("runs.calm_renew", r.CalmRenewWait, r.RenewWait, r.BackendLease/2)
-	c.span("runs.renew_patience", r.RenewPatience, Duration(time.Millisecond), r.RenewLimit)
+	c.span("runs.hold_renew", r.ShortRenewWait, Duration(5*time.Millisecond), r.BackendLease/2)
+	c.span("runs.calm_renew", r.LongRenewWait, r.ShortRenewWait, r.BackendLease/2)
+	c.span("runs.renew_patience", r.RenewOverdueAfter, Duration(time.Millisecond), r.RenewLimit)
 	c.span("runs.renew_limit", r.RenewLimit, Duration(time.Millisecond), r.CallLimit)
-	c.span("runs.silence", r.Silence, r.CalmRenewWait+r.CallLimit, r.BackendLease)
+	c.span("runs.silence", r.SilentAfter, r.LongRenewWait+r.CallLimit, r.BackendLease)
 	c.span("runs.start_limit", r.StartLimit, Duration(10*time.Millisecond), 60*second)
 	c.span("runs.call_limit", r.CallLimit, Duration(10*time.Millisecond), r.BackendLease)
-	c.span("runs.first_lease", r.FirstLease, 0, r.OwnerLease)
+	c.span("runs.first_lease", r.AdoptionTimeout, 0, r.OwnerLease)
 	r.Room.check(c)
 }
 
@@ -106,15 +106,15 @@
 		StopGrace:         r.StopGrace.D(),
 		BackendLease:      min(leaseAsked, r.BackendLease).D(),
 		MaxBackendLease:   r.BackendLease.D(),
-		ShortRenewWait:    r.RenewWait.D(),
-		LongRenewWait:     r.CalmRenewWait.D(),
-		RenewOverdueAfter: r.RenewPatience.D(),
+		ShortRenewWait:    r.ShortRenewWait.D(),
+		LongRenewWait:     r.LongRenewWait.D(),
+		RenewOverdueAfter: r.RenewOverdueAfter.D(),
 		RenewLimit:        r.RenewLimit.D(),
 		CallLimit:         r.CallLimit.D(),
-		SilentAfter:       r.Silence.D(),
+		SilentAfter:       r.SilentAfter.D(),
 		Drift:             drift,
 		StartLimit:        r.StartLimit.D(),
-		AdoptionTimeout:   r.FirstLease.D(),
+		AdoptionTimeout:   r.AdoptionTimeout.D(),
 		Room:              r.Room.Core(),
 	}
 }
--- a/jobs/coordinator/coordinator.go
+++ b/jobs/coordinator/coordinator.go
@@ -149,7 +149,7 @@
 		links:       make(map[string]*link),
 		inbound:     newInboundConns(),
 		routes:      make(map[uint32]route),
-		dedup:       dedup.New(cfg.Copies.Core(&cfg.Scheduler)),
+		dedup:       dedup.New(cfg.Dedup.Core(&cfg.Scheduler)),
 		calls:       make(map[scheduler.Call]*call),
 		forwarded:   make(map[uint64]*call),
 		peerCounts:  make(map[string]map[string]uint32),
--- a/jobs/promises/world_test.go
+++ b/jobs/promises/world_test.go
@@ -32,7 +32,7 @@
 
 	cfg    *config.Scheduler
 	runs   *config.Runs
-	copies config.Copies
+	copies config.Dedup
 	// unguarded backend servers start what they are told to, and a start beyond their
 	// capacity breaks a promise; their stops take time.
 	unguarded bool
@@ -116,7 +116,7 @@
 		cut:        make(map[link]bool),
 		cfg:        &scheduler,
 		runs:       &runs,
-		copies:     config.DefaultCopies(),
+		copies:     config.DefaultDedup(),
 		counts:     make(map[string]int),
 		operators:  operators{offset: 1, evacuated: make(map[string]time.Time)},
 	}
--- a/jobs/runtable/adopted_test.go
+++ b/jobs/runtable/adopted_test.go
@@ -91,7 +91,7 @@
 	}
 	f.table.OwnerUp(f.now, owner, member)
 	f.heartbeat(7)
-	f.pass(f.cfg.FirstLease.D() + time.Millisecond)
+	f.pass(f.cfg.AdoptionTimeout.D() + time.Millisecond)
 	if n := len(f.take().Stops); n != 1 {
 		t.Fatalf("%d runs were stopped, not the one that nobody asks about", n)
 	}
--- a/jobs/runtable/coowners_test.go
+++ b/jobs/runtable/coowners_test.go
@@ -52,7 +52,7 @@
 		},
 		"crashed": func(f *fixture) { f.crash() },
 		"lapsed": func(f *fixture) {
-			f.pass(f.cfg.Silence.D() + time.Millisecond)
+			f.pass(f.cfg.SilentAfter.D() + time.Millisecond)
 			f.beat(owner)
 			f.beat(other)
 			f.pass(f.cfg.BackendLease.D())
--- a/jobs/runtable/evacuations_test.go
+++ b/jobs/runtable/evacuations_test.go
@@ -74,7 +74,7 @@
 		f := newFixture().ready()
 		f.order(7, ref(0, 1))
 		start := f.take().Starts[0]
-		f.pass(f.cfg.Silence.D() + 20*time.Millisecond)
+		f.pass(f.cfg.SilentAfter.D() + 20*time.Millisecond)
 		f.table.StartAnswered(f.now, start, runtable.StartUnknown)
 		f.table.SetEvacuations(f.now, evacuated(3))
 		f.hold(nil)
--- a/jobs/runtable/races_test.go
+++ b/jobs/runtable/races_test.go
@@ -21,7 +21,7 @@
 // what has no answer is sent again.
 func twoCopies(f *fixture) (first, second runtable.StartCall) {
 	f.hold(nil)
-	f.pass(f.cfg.Silence.D() - 10*time.Millisecond)
+	f.pass(f.cfg.SilentAfter.D() - 10*time.Millisecond)
 	f.order(0, best)
 	starts := f.take().Starts
 	Expect(starts).To(HaveLen(1))
@@ -248,7 +248,7 @@
 	f.heartbeat(7)
 	f.table.QueryRuns(f.now, owner, &wire.RunsQuery{Runs: []wire.RunRef{best}})
 	Expect(f.hold(nil).Deadline).To(Equal(f.clock() + f.cfg.BackendLease.D()))
-	f.passHolding(f.cfg.FirstLease.D() + f.cfg.StopGrace.D())
+	f.passHolding(f.cfg.AdoptionTimeout.D() + f.cfg.StopGrace.D())
 	e := f.take()
 	Expect(e.Stops).To(BeEmpty())
 	Expect(e.Notes).NotTo(ContainElement(HaveField("What", runtable.LeaseLapsing)))
--- a/jobs/runtable/runtable_test.go
+++ b/jobs/runtable/runtable_test.go
@@ -79,7 +79,7 @@
 func (f *fixture) passHolding(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.hold(nil)
-		f.pass(min(f.cfg.RenewWait.D(), end.Sub(f.now)))
+		f.pass(min(f.cfg.ShortRenewWait.D(), end.Sub(f.now)))
 	}
 }
 
@@ -635,23 +635,23 @@
 		f := newFixture().ready()
 		f.order(7, ref(0, 1))
 		start := f.take().Starts[0]
-		Expect(f.hold([]runtable.ListedRun{{Ref: ref(0, 1)}}).Wait).To(Equal(f.cfg.CalmRenewWait.D()))
+		Expect(f.hold([]runtable.ListedRun{{Ref: ref(0, 1)}}).Wait).To(Equal(f.cfg.LongRenewWait.D()))
 		f.table.StartAnswered(f.now, start, runtable.StartUnknown)
-		Expect(f.hold(nil).Wait).To(Equal(f.cfg.RenewWait.D()))
+		Expect(f.hold(nil).Wait).To(Equal(f.cfg.ShortRenewWait.D()))
 		for range 9 {
 			f.passHolding(500 * time.Millisecond)
 			f.heartbeat(7)
-			Expect(f.hold(nil).Wait).To(Equal(f.cfg.RenewWait.D()))
+			Expect(f.hold(nil).Wait).To(Equal(f.cfg.ShortRenewWait.D()))
 		}
 		f.passHolding(500 * time.Millisecond)
 		f.heartbeat(7)
-		Expect(f.hold(nil).Wait).To(Equal(f.cfg.CalmRenewWait.D()), "since all have been answered for long")
+		Expect(f.hold(nil).Wait).To(Equal(f.cfg.LongRenewWait.D()), "since all have been answered for long")
 	})
 
 	It("have another made beside them when they are overdue, and count once if they are lost", func() {
 		f := newFixture().ready()
 		first, _ := f.table.NextRenewal(f.now)
-		Expect(first.OverdueAfter).To(Equal(f.cfg.RenewPatience.D()))
+		Expect(first.OverdueAfter).To(Equal(f.cfg.RenewOverdueAfter.D()))
 		f.table.RenewOverdue(first)
 		second, _ := f.table.NextRenewal(f.now)
 		Expect(second.Wait).To(BeZero())
@@ -668,7 +668,7 @@
 		call := f.hold(nil)
 		f.table.RenewOverdue(call)
 		next, _ := f.table.NextRenewal(f.now)
-		Expect(next.Wait).To(Equal(f.cfg.CalmRenewWait.D()))
+		Expect(next.Wait).To(Equal(f.cfg.LongRenewWait.D()))
 		Expect(next.Limit).To(Equal(f.cfg.RenewLimit.D()))
 	})
 
@@ -697,7 +697,7 @@
 		f := newFixture().ready()
 		unanswered(f)
 		f.hold(nil)
-		Expect(f.hold(nil).Wait).To(Equal(f.cfg.CalmRenewWait.D()))
+		Expect(f.hold(nil).Wait).To(Equal(f.cfg.LongRenewWait.D()))
 	})
 
 	It("ask at once after one that had no answer, and give the next ones more time", func() {
@@ -735,7 +735,7 @@
 		f.hold(nil)
 		r := ref(0, wire.BestEffortRun+1)
 		f.hold([]runtable.ListedRun{{Ref: r}})
-		f.pass(f.cfg.FirstLease.D() + time.Millisecond)
+		f.pass(f.cfg.AdoptionTimeout.D() + time.Millisecond)
 		e := f.take()
 		Expect(e.Stops).To(HaveLen(1))
 		_, ok := f.table.NextRenewal(f.now)
--- a/jobs/runtable/shares_test.go
+++ b/jobs/runtable/shares_test.go
@@ -241,7 +241,7 @@
 				call, _ := n.table.NextRenewal(n.now)
 				n.table.RenewAnswered(n.now, call, runtable.RenewAnswer{Result: runtable.RenewConnectionRefused})
 			},
-			"silent": func(n *neighbours) { n.pass(n.cfg.Silence.D() + time.Millisecond) },
+			"silent": func(n *neighbours) { n.pass(n.cfg.SilentAfter.D() + time.Millisecond) },
 		} {
 			n := full()
 			n.ended()
