--- a/config/runs.go
+++ b/config/runs.go
@@ -23,17 +23,17 @@
 	// BackendLease is the longest lease that the backend server grants; the users'
 	// platform sets it. No more than leaseAsked is asked for.
 	BackendLease Duration `json:"hold_lease"`
-	// ShortRenewWait is how long a renewal of that lease may wait for news while something runs
+	// RenewWait is how long a renewal of that lease may wait for news while something runs
 	// and calls go unanswered. One without an answer makes the worker deaf for so long and
 	// RenewLimit more: with 100 and 60 ms, four times as many jobs were late while a
 	// fifteenth of the calls had no answer.
-	ShortRenewWait Duration `json:"hold_renew"`
+	RenewWait Duration `json:"hold_renew"`
 	// LongRenewWait is the same at any other time. A tenth of the lease.
 	LongRenewWait Duration `json:"calm_renew"`
-	// RenewOverdueAfter is how long the answer to a renewal may take beyond its wait before
+	// RenewOverdue is how long the answer to a renewal may take beyond its wait before
 	// another is made beside it: a renewal that is lost makes the worker deaf for so long and
 	// not for RenewLimit. Some ten times what an answer takes.
-	RenewOverdueAfter Duration `json:"renew_patience"`
+	RenewOverdue Duration `json:"renew_patience"`
 	// RenewLimit is for the answer to a renewal, beyond its wait; it doubles after each
 	// that had none, up to CallLimit.
 	RenewLimit Duration `json:"renew_limit"`
@@ -54,20 +54,20 @@
 // DefaultRuns returns the defaults of Runs.
 func DefaultRuns() Runs {
 	return Runs{
-		Partitions:        8,
-		OwnerLease:        Duration(1600 * time.Millisecond),
-		BestEffortLease:   Duration(800 * time.Millisecond),
-		StopGrace:         Duration(200 * time.Millisecond),
-		BackendLease:      Duration(time.Second),
-		ShortRenewWait:    Duration(20 * time.Millisecond),
-		LongRenewWait:     Duration(100 * time.Millisecond),
-		RenewOverdueAfter: Duration(8 * time.Millisecond),
-		RenewLimit:        Duration(30 * time.Millisecond),
-		SilentAfter:       Duration(260 * time.Millisecond),
-		StartLimit:        Duration(700 * time.Millisecond),
-		CallLimit:         Duration(60 * time.Millisecond),
-		AdoptionTimeout:   Duration(250 * time.Millisecond),
-		Room:              DefaultRoom(),
+		Partitions:      8,
+		OwnerLease:      Duration(1600 * time.Millisecond),
+		BestEffortLease: Duration(800 * time.Millisecond),
+		StopGrace:       Duration(200 * time.Millisecond),
+		BackendLease:    Duration(time.Second),
+		RenewWait:       Duration(20 * time.Millisecond),
+		LongRenewWait:   Duration(100 * time.Millisecond),
+		RenewOverdue:    Duration(8 * time.Millisecond),
+		RenewLimit:      Duration(30 * time.Millisecond),
+		SilentAfter:     Duration(260 * time.Millisecond),
+		StartLimit:      Duration(700 * time.Millisecond),
+		CallLimit:       Duration(60 * time.Millisecond),
+		AdoptionTimeout: Duration(250 * time.Millisecond),
+		Room:            DefaultRoom(),
 	}
 }
 
@@ -78,9 +78,9 @@
 	c.span("runs.best_effort_lease", r.BestEffortLease, Duration(100*time.Millisecond), 60*second)
 	c.span("runs.stop_grace", r.StopGrace, 0, 10*second)
 	c.span("runs.hold_lease", r.BackendLease, Duration(100*time.Millisecond), 60*second)
-	c.span("runs.hold_renew", r.ShortRenewWait, Duration(5*time.Millisecond), r.BackendLease/2)
-	c.span("runs.calm_renew", r.LongRenewWait, r.ShortRenewWait, r.BackendLease/2)
-	c.span("runs.renew_patience", r.RenewOverdueAfter, Duration(time.Millisecond), r.RenewLimit)
+	c.span("runs.hold_renew", r.RenewWait, Duration(5*time.Millisecond), r.BackendLease/2)
+	c.span("runs.calm_renew", r.LongRenewWait, r.RenewWait, r.BackendLease/2)
+	c.span("runs.renew_patience", r.RenewOverdue, Duration(time.Millisecond), r.RenewLimit)
 	c.span("runs.renew_limit", r.RenewLimit, Duration(time.Millisecond), r.CallLimit)
 	c.span("runs.silence", r.SilentAfter, r.LongRenewWait+r.CallLimit, r.BackendLease)
 	c.span("runs.start_limit", r.StartLimit, Duration(10*time.Millisecond), 60*second)
@@ -106,9 +106,9 @@
 		StopGrace:         r.StopGrace.D(),
 		BackendLease:      min(leaseAsked, r.BackendLease).D(),
 		MaxBackendLease:   r.BackendLease.D(),
-		ShortRenewWait:    r.ShortRenewWait.D(),
+		ShortRenewWait:    r.RenewWait.D(),
 		LongRenewWait:     r.LongRenewWait.D(),
-		RenewOverdueAfter: r.RenewOverdueAfter.D(),
+		RenewOverdueAfter: r.RenewOverdue.D(),
 		RenewLimit:        r.RenewLimit.D(),
 		CallLimit:         r.CallLimit.D(),
 		SilentAfter:       r.SilentAfter.D(),
--- a/jobs/runtable/runtable_test.go
+++ b/jobs/runtable/runtable_test.go
@@ -79,7 +79,7 @@
 func (f *fixture) passHolding(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.hold(nil)
-		f.pass(min(f.cfg.ShortRenewWait.D(), end.Sub(f.now)))
+		f.pass(min(f.cfg.RenewWait.D(), end.Sub(f.now)))
 	}
 }
 
@@ -637,11 +637,11 @@
 		start := f.take().Starts[0]
 		Expect(f.hold([]runtable.ListedRun{{Ref: ref(0, 1)}}).Wait).To(Equal(f.cfg.LongRenewWait.D()))
 		f.table.StartAnswered(f.now, start, runtable.StartUnknown)
-		Expect(f.hold(nil).Wait).To(Equal(f.cfg.ShortRenewWait.D()))
+		Expect(f.hold(nil).Wait).To(Equal(f.cfg.RenewWait.D()))
 		for range 9 {
 			f.passHolding(500 * time.Millisecond)
 			f.heartbeat(7)
-			Expect(f.hold(nil).Wait).To(Equal(f.cfg.ShortRenewWait.D()))
+			Expect(f.hold(nil).Wait).To(Equal(f.cfg.RenewWait.D()))
 		}
 		f.passHolding(500 * time.Millisecond)
 		f.heartbeat(7)
@@ -651,7 +651,7 @@
 	It("have another made beside them when they are overdue, and count once if they are lost", func() {
 		f := newFixture().ready()
 		first, _ := f.table.NextRenewal(f.now)
-		Expect(first.OverdueAfter).To(Equal(f.cfg.RenewOverdueAfter.D()))
+		Expect(first.OverdueAfter).To(Equal(f.cfg.RenewOverdue.D()))
 		f.table.RenewOverdue(first)
 		second, _ := f.table.NextRenewal(f.now)
 		Expect(second.Wait).To(BeZero())
--- a/jobs/runtable/silenced_test.go
+++ b/jobs/runtable/silenced_test.go
@@ -16,7 +16,7 @@
 		f.orderSuspects(1, 0)
 		var told []wire.RunEnd
 		for range 60 {
-			f.pass(f.cfg.ShortRenewWait.D())
+			f.pass(f.cfg.RenewWait.D())
 			f.heartbeatOf(7, f.now.Sub(time.Unix(1000, 0)).Microseconds())
 			told = append(told, ends(f.take())...)
 		}
