--- a/wire/claims.go
+++ b/wire/claims.go
@@ -3,14 +3,15 @@
 //go:generate go tool msgp -io=false -tests=false -file claims.go -o claims_gen.go
 //msgp:tuple Claim ClaimReply Fetch Fetched
 
-// Claim asks the holder of a submission ID whether the sender may start it.
+// Claim asks the agent that holds the claim on a submission ID whether the sender may start the
+// submission.
 type Claim struct {
 	Seq        uint64 // echoed in the reply
 	Submission string
-	Digest     []byte // of the content
-	// Assignment is the digest of the list of holders that the sender goes by.
+	Digest     []byte // of the submission's content
+	// Assignment is the digest of the sender's list of claim holders.
 	Assignment uint64
-	// Lookup asks only who holds the ID and claims nothing.
+	// Lookup asks only which entry owns the ID, without claiming it.
 	Lookup bool
 }
 
@@ -24,15 +25,15 @@
 	Reason           string
 }
 
-// Fetch asks the entry that owns a submission for its answer, which comes when
-// the job has ended.
+// Fetch asks the entry that owns a submission for its answer. The entry replies when the job has
+// ended.
 type Fetch struct {
 	Seq         uint64
 	Submission  string
 	Digest      []byte
-	Incarnation string // of the entry asked; another one cannot know
-	GrantSeq    uint64 // of the claim by which that entry was granted the ID
-	Lookup      bool   // answer at once with the state, whatever the digest
+	Incarnation string // of the entry asked; a process started later does not have the answer
+	GrantSeq    uint64 // Seq of the Claim by which that entry was granted the ID
+	Lookup      bool   // reply at once with the present state, whatever the digest
 }
 
 // Fetched answers a Fetch.
--- a/wire/frame.go
+++ b/wire/frame.go
@@ -9,8 +9,8 @@
 	"github.com/zeebo/errs"
 )
 
-// The ways in which a frame can be wrong. The connection is of no use after
-// any of them.
+// Errors of invalid frames. After any of them the stream cannot be read further, and the
+// connection has to be closed.
 var (
 	ErrTooLong     = errs.New("frame longer than allowed")
 	ErrEmpty       = errs.New("frame without content")
@@ -19,8 +19,8 @@
 	ErrMalformed   = errs.New("malformed message")
 )
 
-// FaultReason returns a short word for one of the errors above, to count by;
-// ok is false for any other error.
+// FaultReason returns the metric label for one of this package's frame errors; ok is false for
+// any other error.
 func FaultReason(err error) (reason string, ok bool) {
 	switch {
 	case errors.Is(err, ErrTooLong):
@@ -37,13 +37,14 @@
 	return "", false
 }
 
-// DefaultMaxFrame is the frame bound that the daemons use unless told otherwise, in bytes.
+// DefaultMaxFrame is the default limit on the size of a frame, in bytes.
 const DefaultMaxFrame = 4 << 20
 
 const (
-	lengthBytes = 4 // of the length before each frame
-	kindBytes   = 1 // of the kind after it
-	// firstRead bounds what is allocated on the word of a length field alone, in bytes.
+	lengthBytes = 4 // size of the length field
+	kindBytes   = 1 // size of the kind field
+	// firstRead is how many bytes are allocated before any of the body has arrived: the length
+	// field alone may be wrong.
 	firstRead = 64 << 10
 )
 
@@ -59,13 +60,13 @@
 	return b, nil
 }
 
-// Read reads one frame of at most maxFrame bytes and returns its message and
-// its size. It returns io.EOF when the stream ends between frames. The message
-// keeps no reference to r's buffer.
+// Read reads one frame of at most maxFrame bytes, the length field included, and returns its
+// message and its size in bytes. It returns io.EOF when the stream ends between two frames. The
+// message keeps no reference to r's buffer.
 func Read(r *bufio.Reader, maxFrame int) (m Message, size int, err error) {
 	var head [lengthBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
-		return nil, 0, truncated(err)
+		return nil, 0, headerError(err)
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n < kindBytes {
@@ -82,7 +83,7 @@
 	return m, lengthBytes + int(n), err
 }
 
-// Decode turns a frame's content, kind byte first, into a message.
+// Decode decodes a frame without its length field: the kind byte and the message.
 func Decode(body []byte) (Message, error) {
 	if len(body) < kindBytes {
 		return nil, ErrEmpty
@@ -101,26 +102,29 @@
 func readBody(r *bufio.Reader, n int) ([]byte, error) {
 	body := make([]byte, min(n, firstRead))
 	if _, err := io.ReadFull(r, body); err != nil {
-		return nil, inside(err)
+		return nil, bodyError(err)
 	}
 	if n <= firstRead {
 		return body, nil
 	}
 	body = append(body, make([]byte, n-firstRead)...)
 	if _, err := io.ReadFull(r, body[firstRead:]); err != nil {
-		return nil, inside(err)
+		return nil, bodyError(err)
 	}
 	return body, nil
 }
 
-func truncated(err error) error {
+// headerError returns the error for a failed read of the length field. io.EOF stays as it is: the
+// stream has ended between two frames.
+func headerError(err error) error {
 	if errors.Is(err, io.ErrUnexpectedEOF) {
 		return ErrTruncated
 	}
 	return err
 }
 
-func inside(err error) error {
+// bodyError returns the error for a failed read of the body, where io.EOF is a truncated frame too.
+func bodyError(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return ErrTruncated
 	}
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -9,8 +9,8 @@
 	"github.com/lichenfall/lichenfall/lib/golden"
 )
 
-// TestEncodedMessages holds the bytes of one message of each kind, every field
-// set: processes of an earlier version read them.
+// TestEncodedMessages compares the encoding of one message of each kind, with every field set, with
+// the golden file: processes of an earlier version have to be able to read it.
 func TestEncodedMessages(t *testing.T) {
 	var out strings.Builder
 	for _, k := range Kinds() {
@@ -26,7 +26,7 @@
 	golden.Check(t, "messages.golden", out.String())
 }
 
-// fill sets every field to a value of its own, counted from next.
+// fill sets every field to a different value, derived from the counter next.
 func fill(v reflect.Value, next *uint64) {
 	*next++
 	switch v.Kind() {
@@ -53,6 +53,6 @@
 	case reflect.Float64:
 		v.SetFloat(float64(*next) + 0.5)
 	default:
-		panic("a field of kind " + v.Kind().String())
+		panic("unsupported field kind " + v.Kind().String())
 	}
 }
--- a/wire/jobs.go
+++ b/wire/jobs.go
@@ -10,143 +10,147 @@
 //msgp:tuple PartitionEpoch OwnerHeartbeat Evacuations BackendIdentity WorkerStatus RunRef RunOrder RunEnd StartRuns StopRuns RunEnds EndsKept PartitionRuns JobCall JobReply QueueCount QueueCounts HandOver RunsQuery RunNeed RunNeeds TaskCrash CrashReport KeepAlive KeepAliveAck RecordedBackend CapacityRequest RoomWait WaitingWork
 //msgp:limit arrays:65536
 
-// PartitionEpoch says that the sender owns a partition, with the fencing epoch
-// under which it does.
+// PartitionEpoch states that the sender owns a partition, and its fencing epoch.
 type PartitionEpoch struct {
 	Partition uint32
 	Epoch     uint64
 }
 
-// OwnerHeartbeat renews a coordinator's leases at a worker: of its partitions'
-// tasks there. A new epoch fences all earlier owners of the partition.
+// OwnerHeartbeat renews a coordinator's leases on the tasks of its partitions at a worker. A new
+// epoch fences all earlier owners of the partition.
 type OwnerHeartbeat struct {
-	Seq uint64 // rises with each heartbeat on a connection
-	// Echo is the newest Stamp that the sender has received. The leases count
-	// from it, so that a heartbeat that was long on its way renews nothing.
+	Seq uint64 // increases with each heartbeat on a connection
+	// Echo is the Stamp of the newest WorkerStatus that the sender has received. The leases
+	// run from that time, so that a heartbeat that was delayed on its way renews nothing.
 	Echo       int64
 	Partitions []PartitionEpoch
-	// Confirmed says that the store has told the sender that the partitions are its own,
-	// in answer to a question that was asked after this connection was made. Without it
-	// the heartbeat keeps what runs, and nothing may be ordered: a worker that has just
-	// begun knows of no later owner.
+	// Confirmed is set once the store has confirmed, by its answer to a request made after
+	// this connection, that the sender owns the partitions. Until then heartbeats keep
+	// existing runs alive, and the sender may not order new ones: a worker that has just
+	// started does not know of an owner with a later epoch.
 	Confirmed bool
-	// Evacuations is what the sender knows of them; nil while it knows nothing.
+	// Evacuations is the newest state that the sender has read; nil if it has read none.
 	Evacuations *Evacuations
 }
 
-// Evacuations are the data centres in which operators want no task started.
+// Evacuations lists the data centres in which no task may be started, by order of the operators.
 type Evacuations struct {
-	Offset      uint64 // how far the operators' records had been read; a higher one is newer
-	AgeMS       uint32 // since the store last told the sender that nothing is newer
+	Offset      uint64 // read position in the operators' records; a higher one is newer
+	AgeMS       uint32 // time since the store last confirmed to the sender that this is the newest state
 	DataCentres []string
 }
 
-// BackendIdentity describes one life of a worker's backend server.
+// BackendIdentity describes one incarnation of a worker's backend server.
 type BackendIdentity struct {
-	Instance string // changes with each life
+	Instance string // differs for each incarnation
 	Service  string
 	Capacity durable.Resources
 	Labels   []string
 }
 
-// WorkerStatus is a worker's state. It answers a heartbeat, and is sent when
-// something has changed.
+// WorkerStatus is a worker's state. It is sent in reply to a heartbeat and on each change.
 type WorkerStatus struct {
-	Stamp        int64             // the worker's steady clock in microseconds, never 0
-	HeartbeatSeq uint64            // the newest heartbeat that was handled
-	StartSeq     uint64            // the newest StartRuns that was handled
-	Ready        bool              // takes new tasks
-	Free         durable.Resources // after what runs there; may be negative
-	// TimeFactor is the usual time of runs there over their estimates, in percent: 160 on a
-	// slow server; 0 if not known.
+	Stamp        int64             // the worker's monotonic clock in microseconds, never 0
+	HeartbeatSeq uint64            // Seq of the newest heartbeat that was handled
+	StartSeq     uint64            // Seq of the newest StartRuns that was handled
+	Ready        bool              // accepts new tasks
+	Free         durable.Resources // free capacity beside the runs there; may be negative
+	// TimeFactor is the baseline duration of runs on the backend server as a percentage of
+	// their estimates: 160 if they take 1.6 times as long; 0 if unknown.
 	TimeFactor uint32
-	// Slowness is the time of the latest runs over what is usual there, in percent; 0 if not
-	// known.
+	// Slowness is the duration of the latest runs as a percentage of the baseline; 0 if unknown.
 	Slowness uint32
-	Failing  uint32           // share of its latest runs that failed, smoothed, in percent
-	Fenced   []uint32         // partitions of the receiver that another owner has claimed
-	Identity *BackendIdentity // nil while it is that of the last status on the connection
-	// Waiting is the work that waits here for room at other coordinators than the receiver,
-	// by priority and turn; empty while nobody else asks.
+	Failing  uint32           // smoothed share of the latest runs that failed, in percent
+	Fenced   []uint32         // the receiver's partitions for which the worker knows a later owner
+	Identity *BackendIdentity // nil if unchanged since the previous status on the connection
+	// Waiting is the work that waits for capacity of this worker at coordinators other than the
+	// receiver, by priority and virtual deadline; empty while no other coordinator requests
+	// capacity.
 	Waiting []WaitingWork
 }
 
-// WaitingWork is the work of one priority that coordinators wait to start at a worker. What is
-// left of jobs that have begun has turns far in the past, what is overdue far in the future; they
-// are told apart from what is on time.
+// WaitingWork is the work of one priority that coordinators have waiting for capacity of a worker.
+// Virtual deadlines order the tasks, earliest first. The remaining tasks of jobs that have started
+// have virtual deadlines far in the past, overdue tasks have them far in the future; both are
+// reported separately from tasks that are on time.
 type WaitingWork struct {
-	Priority int32 // of the queues; 0 comes first
-	// FirstMS and LastMS are the turns of the first and the last task, in milliseconds from
-	// the moment of sending; negative once they have passed.
+	Priority int32 // of the jobs' queues; 0 is the highest
+	// FirstMS and LastMS are the virtual deadlines of the first and the last task, in
+	// milliseconds after the time of sending; negative for those in the past.
 	FirstMS int64
 	LastMS  int64
-	// Work is the worker's share of the work that waits, by the estimates, in
-	// thousandths of a core times milliseconds.
+	// Work is the part of the waiting work that falls to this worker, by the tasks'
+	// estimates, in thousandths of a core times milliseconds.
 	Work int64
 }
 
-// CapacityRequest tells a worker what waits for room at a coordinator, because it fits nowhere
-// now. It binds nobody: the worker tells the coordinator of free room in a status, in the
-// order of the turns of all who ask, and keeps that room for a moment (a grant). An ask
-// replaces the one before; one without Waits withdraws it.
+// CapacityRequest lists a coordinator's tasks that wait for free capacity, because they fit on no
+// worker now. The worker advertises free capacity to the requesting coordinators in WorkerStatus,
+// in the order of the virtual deadlines of all of them, and reserves it for a short time (a grant).
+// The coordinator need not use a grant. A request replaces the previous one; one without Waits
+// withdraws it.
 type CapacityRequest struct {
-	Seq   uint64 // rises with each CapacityRequest on a connection
-	Seen  int64  // the Stamp of the newest status that was handled: grants up to it are used as far as they can be
+	Seq uint64 // increases with each CapacityRequest on a connection
+	// Seen is the Stamp of the newest status that the sender has handled: the sender uses none
+	// of the grants up to it any further.
+	Seen  int64
 	Waits []RoomWait
 }
 
-// MaxWaits is how many Waits of a CapacityRequest are taken, the first ones.
+// MaxWaits is how many of the Waits of a CapacityRequest a worker takes into account; it ignores
+// the rest.
 const MaxWaits = 8
 
-// RoomWait is what waits of one priority, of about one size, and has begun or not: an ask may
-// have several of a priority.
+// RoomWait is a group of waiting tasks of one priority and of similar size, whose jobs have all
+// started or have all not. A request may have several of one priority.
 type RoomWait struct {
 	WaitingWork
 	Need  durable.Resources // of the first task
-	Tasks uint32            // how many tasks wait
+	Tasks uint32            // number of tasks
 }
 
-// RunRef names one run of a task.
+// RunRef identifies one run of a task.
 type RunRef struct {
 	Task durable.TaskID
 	Run  uint32
 }
 
-// BestEffortRun is the number above which the runs of best-effort jobs are
-// numbered, so that a worker knows them from those of kept jobs, also when an
-// earlier process started them.
+// BestEffortRun is the number above which the runs of best-effort jobs are numbered, so that a
+// worker can distinguish them from the runs of durable jobs, even if an earlier worker process
+// started them.
 const BestEffortRun = 1 << 30
 
-// BestEffort returns whether the run is one of a best-effort job.
+// BestEffort reports whether the run belongs to a best-effort job.
 func (r RunRef) BestEffort() bool { return r.Run > BestEffortRun }
 
-// RunOrder asks for one run of a task.
+// RunOrder is a request to start one run of a task.
 type RunOrder struct {
 	Ref        RunRef
 	Epoch      uint64 // of the owner of the task's partition
-	BestEffort bool   // the job is not kept; the sender owns it while it lives
+	BestEffort bool   // the job is not stored; the sender owns it as long as the sender's process lives
 	Spec       string
 	Need       durable.Resources
 	Checkpoint string
-	EstimateMS int64 // how long the run is thought to take; 0 if that is not known
-	LimitMS    int64 // a run that takes longer is a straggler, and stopped; 0 sets no limit
-	// Crashes is how many runs of the task were lost with a backend server that crashed.
+	EstimateMS int64 // estimated duration of the run; 0 if unknown
+	LimitMS    int64 // the worker stops a run that takes longer, as a straggler; 0 sets no limit
+	// Crashes is the number of the task's runs that were lost when their backend server
+	// crashed.
 	Crashes uint32
 }
 
-// End says how a run ended.
+// End is the way in which a run ended.
 type End uint8
 
 // The ends of runs.
 const (
 	EndDone      End = 1
-	EndFailed    End = 2 // by its own fault or the backend server's
-	EndStopped   End = 3 // on our order
+	EndFailed    End = 2 // failed by itself or in the backend server
+	EndStopped   End = 3 // on the coordinator's request
 	EndLapsed    End = 4 // its lease was not renewed
-	EndLost      End = 5 // the backend server's life is over, as it had said before
-	EndNotRun    End = 6 // it never began and never will
-	EndStraggled End = 7 // stopped by the worker, since it was over its limit
-	EndCrashed   End = 8 // the backend server's life ended under it without a word
+	EndLost      End = 5 // the backend server's process ended, after it had announced that
+	EndNotRun    End = 6 // it has not started and never will
+	EndStraggled End = 7 // stopped by the worker because it exceeded RunOrder.LimitMS
+	EndCrashed   End = 8 // the backend server's process ended during the run, unannounced
 )
 
 // String returns the end's name.
@@ -175,22 +179,22 @@
 	Ref        RunRef
 	How        uint8 // an End
 	Checkpoint string
-	RunMS      int64  // how long the worker saw it running
-	Reason     string // of EndNotRun, EndLost and EndCrashed
-	// Instance is the life of the backend server: of EndCrashed, and of EndLapsed where the
-	// server was silent and so may have crashed.
+	RunMS      int64  // duration of the run as observed by the worker
+	Reason     string // for EndNotRun, EndLost and EndCrashed
+	// Instance is the incarnation of the backend server: for EndCrashed, and for EndLapsed if
+	// the server was silent and so may have crashed.
 	Instance string
-	// Begun says of EndCrashed that the run was at work; without it, its start had no
-	// answer yet.
+	// Begun is set for EndCrashed if the backend server had acknowledged the start of the run.
 	Begun bool
-	// Alone says of EndCrashed that no other run there was of a task with Crashes.
+	// Alone is set for EndCrashed if this was the only run on the backend server whose task
+	// has, or may have, had a crash before (RunOrder.Crashes).
 	Alone bool
 }
 
-// StartRuns asks a worker to run tasks as soon as they fit.
+// StartRuns asks a worker to start runs as soon as it has the capacity.
 type StartRuns struct {
-	Seq  uint64 // rises with each StartRuns on a connection
-	Seen int64  // the Stamp of the newest status that was handled, as in CapacityRequest
+	Seq  uint64 // increases with each StartRuns on a connection
+	Seen int64  // Stamp of the newest status that the sender has handled, as in CapacityRequest
 	Runs []RunOrder
 }
 
@@ -199,28 +203,28 @@
 	Runs []RunRef
 }
 
-// RunEnds tells ends of runs. Those that the backend server remembers are told
-// again after each reconnection, until EndsKept.
+// RunEnds reports ends of runs. The worker reports those that the backend server still lists again
+// after each reconnection, until they are acknowledged by EndsKept.
 type RunEnds struct {
 	Ends []RunEnd
 }
 
-// EndsKept says that the ends are in the store, or will never matter.
+// EndsKept acknowledges ends of runs: they are in the store, or need not be stored.
 type EndsKept struct {
 	Runs []RunRef
 }
 
-// PartitionRuns is all that a worker knows of a partition's tasks at one
-// moment. It follows the first heartbeat of an epoch on a connection.
+// PartitionRuns lists all runs and ends that a worker knows of a partition's tasks. It is sent in
+// reply to the first heartbeat of an epoch on a connection.
 type PartitionRuns struct {
 	Partition uint32
 	Epoch     uint64
-	StartSeq  uint64   // the newest StartRuns that was handled before
-	Running   []RunRef // running, waiting or being stopped
-	Ended     []RunEnd // not yet called kept
+	StartSeq  uint64   // Seq of the newest StartRuns that was handled before
+	Running   []RunRef // runs that run, wait for capacity or are being stopped
+	Ended     []RunEnd // not yet acknowledged by EndsKept
 }
 
-// CallKind is what a JobCall asks for.
+// CallKind is the operation that a JobCall requests.
 type CallKind uint8
 
 // The kinds of JobCall.
@@ -230,95 +234,94 @@
 	CallCancel CallKind = 3
 )
 
-// JobCall passes a caller's request on to the owner of the job's partition.
+// JobCall forwards a caller's request to the coordinator that owns the job's partition.
 type JobCall struct {
 	Seq        uint64
 	Kind       uint8 // a CallKind
 	ID         durable.JobID
-	Submission *durable.Submission // of CallSubmit
-	BudgetMS   int64               // how long the caller waits; 0 when that is not known
+	Submission *durable.Submission // for CallSubmit
+	BudgetMS   int64               // how long the caller waits for an answer; 0 if unknown
 }
 
 // JobReply answers a JobCall.
 type JobReply struct {
 	Seq     uint64
-	Failure uint8 // a failure.Kind; None if all is well
+	Failure uint8 // a failure.Kind; None on success
 	State   uint8 // a durable.State
-	RetryMS int64 // when to come back, with a Failure
+	RetryMS int64 // with a Failure: time after which the caller should retry
 }
 
-// QueueCount is the number of a queue's jobs that wait, none of whose tasks
-// has begun.
+// QueueCount is the number of waiting jobs in a queue, those of which no task has started.
 type QueueCount struct {
 	Queue string
 	Jobs  uint32
 }
 
-// QueueCounts tells other coordinators of the sender's waiting jobs, of the
-// partitions that it owns, and of best-effort jobs that it has had for so long
-// that their callers may send them again elsewhere.
+// QueueCounts announces to other coordinators the numbers of the sender's waiting jobs, the
+// partitions that it owns, and the best-effort jobs that it has held for so long that their callers
+// may send them again to another coordinator.
 type QueueCounts struct {
 	Partitions []PartitionEpoch
 	Counts     []QueueCount
 	BestEffort []durable.JobID
 }
 
-// BestEffortRuns is the Partition of a PartitionRuns that answers RunsQuery.
+// BestEffortRuns is the Partition of a PartitionRuns that is the reply to a RunsQuery.
 const BestEffortRuns = math.MaxUint32
 
-// RunsQuery asks what became of runs of best-effort jobs that were ordered over
-// an earlier connection. It is answered by a PartitionRuns; a run that is in
-// neither of its lists does not run and never will. Any other that the sender has ordered
-// before is stopped.
+// RunsQuery asks a worker for the state of runs of best-effort jobs that the sender ordered over an
+// earlier connection. The reply is a PartitionRuns; a run that is in neither of its lists does not
+// run and never will. The worker stops all other runs that the sender ordered before and that the
+// query does not name.
 type RunsQuery struct {
 	Runs []RunRef
 }
 
-// HandOver asks other coordinators to look at once which partitions are theirs.
+// HandOver asks other coordinators to check at once which partitions they own.
 type HandOver struct{}
 
-// RunNeed says what one run takes of its backend server.
+// RunNeed is the capacity that one run takes of its backend server.
 type RunNeed struct {
 	Ref  RunRef
 	Need durable.Resources
 }
 
-// RunNeeds tells a worker what runs take that it listed in a PartitionRuns and that
-// the sender wants: a worker that found them when it started cannot know.
+// RunNeeds gives a worker the needs of runs that it listed in a PartitionRuns and that the sender
+// keeps: a worker that found them on the backend server when it started does not know their needs.
 type RunNeeds struct {
 	Runs []RunNeed
 }
 
-// TaskCrash is a backend server that crashed under a run of a best-effort job's task.
+// TaskCrash reports that a backend server crashed during a run of a best-effort job's task.
 type TaskCrash struct {
 	Task     durable.TaskID
-	Instance string // the life of the backend server
-	Begun    bool   // the run was at work; else its start had no answer yet
-	GivenUp  bool   // the job was given up for it
-	// Suspected says that nothing but the server's silence speaks for a crash.
+	Instance string // the incarnation of the backend server
+	Begun    bool   // the backend server had acknowledged the start of the run
+	GivenUp  bool   // the job was given up because of this crash
+	// Suspected is set if the server only became silent, so that the crash is an assumption.
 	Suspected bool
 }
 
-// CrashReport tells other coordinators of crashes under best-effort jobs: a caller without an
-// answer may send the job again to any of them.
+// CrashReport reports crashes during runs of best-effort jobs to the other coordinators: a caller
+// without an answer may send its job again to any of them.
 type CrashReport struct {
 	Crashes []TaskCrash
 }
 
-// RecordedBackend tells a worker what the store has of its backend server. It is the first
-// message of a coordinator that has connected.
+// RecordedBackend gives a worker the store's record of its backend server. It is the first message
+// that a coordinator sends on a new connection, after Hello.
 type RecordedBackend struct {
-	Instance string // with Born, the life that it was
-	Born     int64  // milliseconds since 1970; 0 where backend servers do not tell
+	Instance string // with Born, the recorded incarnation
+	Born     int64  // start of that incarnation, in milliseconds since 1970; 0 if backend servers do not report it
 	Service  string
 	Ready    bool
 	Capacity durable.Resources
 	Labels   []string
 }
 
-// KeepAlive asks the peer to say something. Package peer sends and answers it; no
-// handler sees it.
+// KeepAlive asks the peer for a KeepAliveAck. Package peer sends and answers it; handlers do not
+// receive it.
 type KeepAlive struct{}
 
-// KeepAliveAck answers a KeepAlive.
+// KeepAliveAck is the reply to a KeepAlive. Package peer handles it; handlers do not receive it.
 type KeepAliveAck struct{}
--- a/wire/kinds.go
+++ b/wire/kinds.go
@@ -1,7 +1,7 @@
 package wire
 
-// Kind is the byte that names a message's type on the wire. A number is never
-// used again for another message.
+// Kind is the byte that identifies a message's type on the wire. The number of a message that was
+// removed is not reused.
 type Kind uint8
 
 // The kinds of message.
@@ -36,14 +36,14 @@
 	KindCapacityRequest Kind = 28
 )
 
-// kind is what a frame needs to know of a kind of message.
-type kind struct {
-	name string         // in metric labels; it stays when the Go type is renamed
-	new  func() Message // an empty message to read into
+// kindInfo holds the name and the constructor of a kind of message.
+type kindInfo struct {
+	name string         // in metric labels; independent of the name of the Go type
+	new  func() Message // returns an empty message to decode into
 }
 
-// kinds holds every kind by its number; there is none of number 0.
-var kinds = [...]kind{
+// kinds is indexed by Kind; number 0 is not used.
+var kinds = [...]kindInfo{
 	KindHello:           {"hello", func() Message { return &Hello{} }},
 	KindPlace:           {"place", func() Message { return &Place{} }},
 	KindCancel:          {"cancel", func() Message { return &Cancel{} }},
@@ -82,7 +82,7 @@
 	return kinds[k].name
 }
 
-// Kinds returns all kinds of message, by their numbers.
+// Kinds returns all kinds of message in ascending order of their numbers.
 func Kinds() []Kind {
 	var out []Kind
 	for k := range Kind(len(kinds)) {
@@ -95,8 +95,7 @@
 
 func (k Kind) known() bool { return int(k) < len(kinds) && kinds[k].new != nil }
 
-// newMessage returns an empty message of the kind, or nil for one that is not
-// known.
+// newMessage returns an empty message of the kind, or nil if the kind is unknown.
 func newMessage(k Kind) Message {
 	if !k.known() {
 		return nil
@@ -104,7 +103,7 @@
 	return kinds[k].new()
 }
 
-// Message is what a frame carries.
+// Message is the content of a frame.
 type Message interface {
 	WireKind() Kind
 	MarshalMsg(b []byte) ([]byte, error)
--- a/wire/label.go
+++ b/wire/label.go
@@ -1,17 +1,18 @@
 package wire
 
-// Labels by which messages are counted: their kinds, with those that carry no
-// first try of a task and no answer told apart.
+// Metric labels of messages that are counted apart from the rest of their kind, because they carry
+// no useful work.
 const (
-	labelPlaceAgain = "place_again"   // only tasks that were handed back before
-	labelNoAnswer   = "results_empty" // refusals, or nothing but the load
+	labelPlaceAgain = "place_again"   // a Place with no first attempt of a task
+	labelNoAnswer   = "results_empty" // a Results with refusals only, or without items
 )
 
-// Label returns the label by which the message is counted.
+// Label returns the metric label of a message: its kind, or one of those in Labels for messages
+// that carry no useful work.
 func Label(m Message) string {
 	switch m := m.(type) {
 	case *Place:
-		if onlyAgain(m) {
+		if onlyRetries(m) {
 			return labelPlaceAgain
 		}
 	case *Results:
@@ -22,7 +23,7 @@
 	return m.WireKind().String()
 }
 
-// Labels returns all labels.
+// Labels returns all values that Label may return.
 func Labels() []string {
 	out := []string{labelPlaceAgain, labelNoAnswer}
 	for _, k := range Kinds() {
@@ -31,8 +32,8 @@
 	return out
 }
 
-// Wasted returns whether messages of the label carry no useful work: neither a
-// task that was not sent before, nor an answer.
+// Wasted reports whether messages with the label carry no useful work, which is the first attempt
+// of a task, or an answer.
 func Wasted(label string) bool {
 	switch label {
 	case KindPlace.String(), KindResults.String(), KindFetched.String():
@@ -41,7 +42,7 @@
 	return true
 }
 
-func onlyAgain(m *Place) bool {
+func onlyRetries(m *Place) bool {
 	for i := range m.Tasks {
 		if m.Tasks[i].Attempt <= 1 {
 			return false
@@ -50,15 +51,15 @@
 	return true
 }
 
-// hasAnswer returns whether a result says more than that a task did not run.
+// hasAnswer reports whether at least one of the tasks ran, or may have run.
 func hasAnswer(m *Results) bool {
 	for i := range m.Items {
-		if m.Items[i].Ran != ranNot {
+		if m.Items[i].Ran != notRun {
 			return true
 		}
 	}
 	return false
 }
 
-// ranNot is failure.NotRun on the wire.
-const ranNot = 1
+// notRun is the encoded value of failure.NotRun.
+const notRun = 1
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -1,9 +1,12 @@
 // Package wire defines the messages between lichenfall's own processes and
 // their framing on a TCP stream.
 //
-// A frame is a length (4 bytes, big endian, counting what follows), a kind
-// (1 byte) and the message as a msgpack array. The length is bounded by the
-// reader. The first message in each direction is Hello.
+// A frame consists of a length (4 bytes, big endian, counting the bytes after it), a kind
+// (1 byte) and the message as a msgpack array. The reader sets the maximum length. The first
+// message in each direction is Hello.
+//
+// The package owns the encoding and the numbers of kinds. It holds no state, does no I/O beyond
+// Read, and relies on package peer for connections.
 package wire
 
 import "math"
@@ -12,104 +15,104 @@
 //msgp:tuple Hello Task Place Cancel Result Load Results Ping LeaveAck
 //msgp:limit arrays:4096
 
-// Version is the version of this protocol. Peers of another version are
-// refused at Hello.
+// Version is the version of this protocol. A connection to a peer of another version is closed
+// when its Hello arrives.
 const Version = 7
 
-// Role says what a process is.
+// Role is the role of a process.
 type Role uint8
 
 // The roles of processes.
 const (
 	RoleEntry Role = 1
 	RoleAgent Role = 2
-	// RoleCoordinator and RoleWorker are those of kept jobs.
+	// RoleCoordinator and RoleWorker belong to jobs; the roles before them, to submissions.
 	RoleCoordinator Role = 3
 	RoleWorker      Role = 4
 )
 
-// Hello opens a connection in each direction.
+// Hello is the first message in each direction of a connection. It describes the sender.
 type Hello struct {
 	Version     uint32
 	Role        Role
 	Box         string // name of the box, from settings
 	DataCentre  string
-	Incarnation string // unique for each start of a process
-	Address     string // where the process listens for its peers
+	Incarnation string // identifies the process: unique for each start
+	Address     string // where the process accepts connections from its peers
 	Pool        string // agents only: the pool that its backend server serves
 	Slots       uint32 // agents only
-	Queue       uint32 // agents only: tasks that may wait
-	Leaving     bool   // agents only: takes no new work
+	Queue       uint32 // agents only: limit on the number of tasks that wait
+	Leaving     bool   // agents only: accepts no new tasks
 	Assignment  uint64 // digest of the list of claim holders
-	UnixMicros  int64  // the sender's wall clock, when sent
+	UnixMicros  int64  // the sender's wall clock at the time of sending
 }
 
 // Task is one task of a Place message.
 type Task struct {
 	Index   uint32 // position within the submission, from 0
-	Attempt uint32 // counts the placings of the task, from 1
+	Attempt uint32 // number of times the task has been placed, this one included
 	Payload []byte // JSON
 }
 
-// Place asks an agent to queue and run tasks of one submission. Each task is
-// answered by exactly one Result as long as the connection lasts.
+// Place asks an agent to queue and run tasks of one submission. The agent sends exactly one Result
+// for each task while the connection lasts.
 type Place struct {
-	// Seq rises with each Place on a connection; a copy of one is dropped.
+	// Seq increases with each Place on a connection; duplicates are dropped.
 	Seq           uint64
-	Job           uint64 // the sender's number for the job; unique in its incarnation
+	Job           uint64 // the sender's number of the job; unique within its incarnation
 	Submission    string
 	Workspace     string
-	BudgetMicros  uint64 // time left until the deadline, when sent
+	BudgetMicros  uint64 // time left until the deadline at the time of sending
 	DeadlineUnix  int64  // the deadline by the sender's clock, in microseconds
 	NotRepeatable bool
-	// MaxQueue is the number of tasks that may wait ahead of these; an agent
-	// with more hands them back as busy. NoQueueLimit leaves it to the agent.
+	// MaxQueue is the number of tasks that may wait ahead of these; an agent with more of them
+	// returns these as busy. With NoQueueLimit only the agent's own limit applies.
 	MaxQueue uint32
 	Tasks    []Task
 }
 
-// NoQueueLimit is the MaxQueue of tasks that are to wait however long the
-// agent's queue is, within its own bound.
+// NoQueueLimit is the MaxQueue of tasks that may wait behind any number of others, within the
+// agent's own limit.
 const NoQueueLimit = math.MaxUint32
 
-// Cancel asks an agent to give up those tasks of a job that have not started.
-// It cannot overtake the Place on its connection.
+// Cancel asks an agent to drop those of a job's tasks that have not started. It arrives after the
+// job's Place messages, as both are sent on the same connection.
 type Cancel struct {
 	Job     uint64
 	Indexes []uint32
 }
 
-// Result is an agent's word on one task.
+// Result is the outcome of one task.
 type Result struct {
 	Job     uint64
 	Index   uint32
-	Attempt uint32 // of the placing that is answered
+	Attempt uint32 // of the Task message that this answers
 	Kind    uint8  // a failure.Kind; None means that Body is the answer
 	Ran     uint8  // a failure.Ran
 	Reason  string
 	Body    []byte // JSON, when Kind is None
-	// RunMicros is how long the backend server held the task.
+	// RunMicros is the time from sending the task to the backend server to the answer.
 	RunMicros uint64
 }
 
-// Load is an agent's state as of the moment it answers; it rides on answers.
+// Load is an agent's load at the time at which it sends the Results that contain it.
 type Load struct {
-	Queued  uint32 // tasks waiting, of all entries
-	Running uint32 // tasks started, of all entries
-	Mine    uint32 // of both, those that the receiver placed
+	Queued  uint32 // tasks that wait, from all entries
+	Running uint32 // tasks that run, from all entries
+	Mine    uint32 // tasks that wait or run, from the receiver of this message
 	Slots   uint32
 	Leaving bool
 }
 
-// Results carries finished tasks of any number of jobs, and the agent's load.
+// Results carries the outcomes of tasks of any number of jobs, and the agent's load.
 type Results struct {
 	Load  Load
 	Items []Result
 }
 
-// Ping asks an agent for a Results message, be it without items.
+// Ping asks an agent for a Results message, which may have no items.
 type Ping struct{}
 
-// LeaveAck answers the first Results that calls the agent leaving: no Place
-// comes after it on this connection.
+// LeaveAck acknowledges the first Results with Load.Leaving set. The sender sends no Place after it
+// on this connection.
 type LeaveAck struct{}
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -67,7 +67,7 @@
 }
 
 var _ = Describe("frames", func() {
-	It("carry each kind of message there and back", func() {
+	It("encode and decode each kind of message", func() {
 		var b []byte
 		for _, m := range samples() {
 			var err error
@@ -85,7 +85,7 @@
 		Expect(samples()).To(HaveLen(len(wire.Kinds())))
 	})
 
-	DescribeTable("that are wrong are refused with a reason to count by",
+	DescribeTable("return an error with a metric label if they are invalid",
 		func(b []byte, want error, reason string) {
 			_, err := read(b)
 			Expect(err).To(MatchError(want))
@@ -93,29 +93,29 @@
 			Expect(ok).To(BeTrue())
 			Expect(got).To(Equal(reason))
 		},
-		Entry("an absurd length", []byte{0xff, 0xff, 0xff, 0xff, 1}, wire.ErrTooLong, "too_long"),
-		Entry("one byte over the bound", binary.BigEndian.AppendUint32(nil, maxFrame-3), wire.ErrTooLong, "too_long"),
+		Entry("a length far over the limit", []byte{0xff, 0xff, 0xff, 0xff, 1}, wire.ErrTooLong, "too_long"),
+		Entry("one byte over the limit", binary.BigEndian.AppendUint32(nil, maxFrame-3), wire.ErrTooLong, "too_long"),
 		Entry("no content", frame(), wire.ErrEmpty, "empty"),
-		Entry("a cut length", []byte{0, 0}, wire.ErrTruncated, "truncated"),
-		Entry("a cut body", frame(1, 2, 3)[:6], wire.ErrTruncated, "truncated"),
-		Entry("a kind that is not known", frame(200, 0x90), wire.ErrUnknownKind, "unknown_kind"),
-		Entry("something else than msgpack", frame(byte(wire.KindPlace), 0xc1), wire.ErrMalformed, "malformed"),
+		Entry("a truncated length", []byte{0, 0}, wire.ErrTruncated, "truncated"),
+		Entry("a truncated body", frame(1, 2, 3)[:6], wire.ErrTruncated, "truncated"),
+		Entry("an unknown kind", frame(200, 0x90), wire.ErrUnknownKind, "unknown_kind"),
+		Entry("a body that is not msgpack", frame(byte(wire.KindPlace), 0xc1), wire.ErrMalformed, "malformed"),
 		Entry("bytes after the message", frame(byte(wire.KindPing), 0x90, 0), wire.ErrMalformed, "malformed"),
-		Entry("an array that claims a billion elements", frame(byte(wire.KindCancel), 0x92, 1, 0xdd, 0x40, 0, 0, 0), wire.ErrMalformed, "malformed"),
+		Entry("an array with a length of a billion elements", frame(byte(wire.KindCancel), 0x92, 1, 0xdd, 0x40, 0, 0, 0), wire.ErrMalformed, "malformed"),
 	)
 })
 
 var _ = Describe("messages", func() {
-	DescribeTable("are counted by label, wasted or not", func(m wire.Message, label string, wasted bool) {
+	DescribeTable("are counted by label, as wasted or not", func(m wire.Message, label string, wasted bool) {
 		Expect(wire.Label(m)).To(Equal(label))
 		Expect(wire.Wasted(label)).To(Equal(wasted))
 		Expect(wire.Labels()).To(ContainElement(label))
 	},
-		Entry("a task", &wire.Place{Tasks: []wire.Task{{Attempt: 2}, {Attempt: 1}}}, "place", false),
-		Entry("tasks placed again", &wire.Place{Tasks: []wire.Task{{Attempt: 2}}}, "place_again", true),
+		Entry("a first attempt of a task", &wire.Place{Tasks: []wire.Task{{Attempt: 2}, {Attempt: 1}}}, "place", false),
+		Entry("further attempts only", &wire.Place{Tasks: []wire.Task{{Attempt: 2}}}, "place_again", true),
 		Entry("an answer", &wire.Results{Items: []wire.Result{{Ran: 1}, {Ran: 2}}}, "results", false),
 		Entry("refusals", &wire.Results{Items: []wire.Result{{Ran: 1}}}, "results_empty", true),
-		Entry("the load alone", &wire.Results{}, "results_empty", true),
+		Entry("the load without items", &wire.Results{}, "results_empty", true),
 		Entry("a claim", &wire.Claim{}, "claim", true),
 		Entry("a fetched answer", &wire.Fetched{}, "fetched", false),
 	)
@@ -135,20 +135,20 @@
 		m, err := read(b)
 		if err != nil {
 			if _, known := wire.FaultReason(err); !known && err != io.EOF {
-				t.Fatalf("an error that is not counted: %v", err)
+				t.Fatalf("error without a metric label: %v", err)
 			}
 			return
 		}
-		again, err := wire.Append(nil, m)
+		encoded, err := wire.Append(nil, m)
 		if err != nil {
 			t.Fatal(err)
 		}
-		back, err := read(again)
+		decoded, err := read(encoded)
 		if err != nil {
-			t.Fatalf("what was read cannot be written and read again: %v", err)
+			t.Fatalf("a decoded message cannot be encoded and decoded again: %v", err)
 		}
-		if third, _ := wire.Append(nil, back); !bytes.Equal(third, again) {
-			t.Fatal("a message changes when it is written and read")
+		if reencoded, _ := wire.Append(nil, decoded); !bytes.Equal(reencoded, encoded) {
+			t.Fatal("a message differs after it was encoded and decoded")
 		}
 	})
 }
