--- a/config/admin.go
+++ b/config/admin.go
@@ -1,7 +1,7 @@
 package config
 
-// Admin is the agent's section on its HTTP side for operators: metrics,
-// health, state and log level. The entry serves the same on its caller side.
+// Admin is the section on the HTTP endpoints for operators: metrics, health, state and log level.
+// An entry has none: it serves them on the address for callers.
 type Admin struct {
 	Listen string `json:"listen"`
 }
--- a/config/backend.go
+++ b/config/backend.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// Backend is the agent's section on the backend server beside it.
+// Backend is the agent's section on its backend server.
 type Backend struct {
 	URL         string `json:"url"`
 	Pool        string `json:"pool"`
-	Slots       int    `json:"slots"`       // tasks at once
-	Connections int    `json:"connections"` // HTTP connections at most
-	Queue       int    `json:"queue"`       // tasks waiting for a slot
-	// Order is "fair": workspaces in turn, small jobs of a workspace first; or "arrival",
-	// which answers later under load and stays for operators who have set it.
+	Slots       int    `json:"slots"`       // tasks that run at once
+	Connections int    `json:"connections"` // limit on HTTP connections to the backend server
+	Queue       int    `json:"queue"`       // limit on tasks that wait for a slot
+	// Order of the waiting tasks. "fair" serves workspaces in turn and small jobs of a workspace
+	// first. "arrival" has longer response times under load; it remains for operators who have
+	// set it.
 	Order       string   `json:"order"`
-	Hold        Duration `json:"hold"`       // how long an answer may wait for others of its job
-	MaxAnswer   int64    `json:"max_answer"` // bytes of one answer
+	Hold        Duration `json:"hold"`       // how long a result may be delayed to be sent with others of its job
+	MaxAnswer   int64    `json:"max_answer"` // limit on the size of one answer, in bytes
 	DialTimeout Duration `json:"dial_timeout"`
-	UsagePoll   Duration `json:"usage_poll"`   // between readings of its usage reports
-	StopTimeout Duration `json:"stop_timeout"` // for tasks in flight at a planned stop
+	UsagePoll   Duration `json:"usage_poll"`   // interval between requests for its usage
+	StopTimeout Duration `json:"stop_timeout"` // how long a planned stop waits for running tasks
 }
 
 // DefaultBackend returns the defaults of Backend.
@@ -36,15 +37,15 @@
 }
 
 func (b *Backend) check(c *checker) {
-	c.link("backend.url", b.URL)
+	c.httpURL("backend.url", b.URL)
 	c.name("backend.pool", b.Pool)
 	between(c, "backend.slots", b.Slots, 1, 1024)
 	between(c, "backend.connections", b.Connections, b.Slots, 4096)
 	between(c, "backend.queue", b.Queue, 0, 100000)
 	c.oneOf("backend.order", b.Order, "fair", "arrival")
-	c.span("backend.hold", b.Hold, 0, Duration(time.Second))
+	c.durationBetween("backend.hold", b.Hold, 0, Duration(time.Second))
 	between(c, "backend.max_answer", b.MaxAnswer, 16, 4<<20)
-	c.span("backend.dial_timeout", b.DialTimeout, Duration(10*time.Millisecond), Duration(10*time.Second))
-	c.span("backend.usage_poll", b.UsagePoll, Duration(100*time.Millisecond), Duration(time.Hour))
-	c.span("backend.stop_timeout", b.StopTimeout, Duration(time.Second), Duration(time.Hour))
+	c.durationBetween("backend.dial_timeout", b.DialTimeout, Duration(10*time.Millisecond), Duration(10*time.Second))
+	c.durationBetween("backend.usage_poll", b.UsagePoll, Duration(100*time.Millisecond), Duration(time.Hour))
+	c.durationBetween("backend.stop_timeout", b.StopTimeout, Duration(time.Second), Duration(time.Hour))
 }
--- a/config/box.go
+++ b/config/box.go
@@ -1,6 +1,6 @@
 package config
 
-// Box is the section that says where a process runs.
+// Box is the section on the box and the data centre in which a process runs.
 type Box struct {
 	Name       string `json:"name"`
 	DataCentre string `json:"data_centre"`
--- a/config/boxlist.go
+++ b/config/boxlist.go
@@ -2,13 +2,12 @@
 
 import "time"
 
-// BoxList is the section on the platform's box list; in the file it is called
-// platform. An empty URL means that
-// the agents are those of claims.holders.
+// BoxList is the section on the platform's list of boxes; its key in the file is platform. If URL
+// is empty, the agents are those of claims.holders.
 type BoxList struct {
 	URL   string   `json:"url"`
-	Poll  Duration `json:"poll"`  // pause between readings, spread by jitter
-	Limit Duration `json:"limit"` // for one reading
+	Poll  Duration `json:"poll"`  // pause between requests; a random jitter is applied
+	Limit Duration `json:"limit"` // timeout of one request
 }
 
 // DefaultBoxList returns the defaults of BoxList.
@@ -18,8 +17,8 @@
 
 func (p *BoxList) check(c *checker) {
 	if p.URL != "" {
-		c.link("platform.url", p.URL)
+		c.httpURL("platform.url", p.URL)
 	}
-	c.span("platform.poll", p.Poll, Duration(50*time.Millisecond), Duration(time.Minute))
-	c.span("platform.limit", p.Limit, Duration(50*time.Millisecond), Duration(time.Minute))
+	c.durationBetween("platform.poll", p.Poll, Duration(50*time.Millisecond), Duration(time.Minute))
+	c.durationBetween("platform.limit", p.Limit, Duration(50*time.Millisecond), Duration(time.Minute))
 }
--- a/config/checker.go
+++ b/config/checker.go
@@ -11,17 +11,17 @@
 	"github.com/lichenfall/lichenfall/submissions/job"
 )
 
-// checker collects what is wrong with the values of a file.
+// checker reports values of a settings file that are not allowed.
 type checker struct {
 	d *decoder
 }
 
-// section is one part of a role's settings.
+// section is one section of a role's settings.
 type section interface {
 	check(c *checker)
 }
 
-// checkSections checks each section of a role's settings, in their order.
+// checkSections checks all sections of a role's settings in the order of the struct's fields.
 func checkSections(c *checker, settings any) {
 	v := reflect.ValueOf(settings).Elem()
 	for i := range v.NumField() {
@@ -29,21 +29,21 @@
 	}
 }
 
-// between reports the field when v is outside [low, high].
+// between reports the field if v is outside [low, high].
 func between[T cmp.Ordered](c *checker, field string, v, low, high T) {
 	if v < low || v > high {
 		c.d.report(field, fmt.Sprintf("%v is out of range", v), fmt.Sprintf("%v to %v", low, high))
 	}
 }
 
-// span reports the field when the duration is outside [low, high].
-func (c *checker) span(field string, v, low, high Duration) {
+// durationBetween reports the field if the duration is outside [low, high].
+func (c *checker) durationBetween(field string, v, low, high Duration) {
 	if v < low || v > high {
 		c.d.report(field, v.D().String()+" is out of range", low.D().String()+" to "+high.D().String())
 	}
 }
 
-// address reports the field unless v is an IP number and a port.
+// address reports the field unless v is an IP address and a port.
 func (c *checker) address(field, v string) {
 	host, port, err := net.SplitHostPort(v)
 	n, perr := strconv.Atoi(port)
@@ -52,7 +52,7 @@
 	}
 }
 
-// addresses reports the elements that are no addresses or stand twice.
+// addresses reports the elements of a list that are not addresses or are duplicates.
 func (c *checker) addresses(field string, list []string) {
 	seen := make(map[string]bool)
 	for i, a := range list {
@@ -65,22 +65,22 @@
 	}
 }
 
-// link reports the field unless v is an http URL with a host.
-func (c *checker) link(field, v string) {
+// httpURL reports the field unless v is an http URL with a host.
+func (c *checker) httpURL(field, v string) {
 	u, err := url.Parse(v)
 	if err != nil || u.Scheme != "http" || u.Host == "" {
 		c.d.report(field, fmt.Sprintf("%q is not a URL", v), "such as http://10.0.0.7:9000")
 	}
 }
 
-// name reports the field unless v may name a thing.
+// name reports the field unless v is a valid name.
 func (c *checker) name(field, v string) {
 	if !job.ValidName(v) {
 		c.d.report(field, fmt.Sprintf("%q is not a valid name", v), "1 to 64 characters of A-Z a-z 0-9 . _ : - @")
 	}
 }
 
-// nameList reports a list that is empty or holds an invalid name.
+// nameList reports the list if it is empty, and its elements that are not valid names.
 func (c *checker) nameList(field string, list []string) {
 	if len(list) == 0 {
 		c.d.report(field, "empty", "at least one name")
@@ -90,7 +90,7 @@
 	}
 }
 
-// oneOf reports the field unless v is among the allowed words.
+// oneOf reports the field unless v is one of the allowed values.
 func (c *checker) oneOf(field, v string, allowed ...string) {
 	for _, a := range allowed {
 		if v == a {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -25,14 +25,14 @@
 }`
 
 var _ = Describe("a settings file", func() {
-	It("is taken over the defaults", func() {
+	It("overrides the defaults", func() {
 		e := config.DefaultEntry()
 		Expect(config.Parse("entry.hujson", []byte(good), e)).To(Succeed())
 		Expect(e.Jobs.MaxTimeout.D().String()).To(Equal("30s"))
 		Expect(e.Jobs.MaxTasks).To(Equal(150))
 	})
 
-	It("that is wrong has all its problems reported, each with line, field and what is allowed", func() {
+	It("has all its problems reported, each with line, field and allowed values", func() {
 		text := strings.Replace(good, `"max_timeout": "30s"`, `"max_timeout": 30,
 			"retries": 3,
 			"attempts": 99,
@@ -48,20 +48,20 @@
 		))
 	})
 
-	DescribeTable("is refused for", func(text, want string) {
+	DescribeTable("is rejected because of", func(text, want string) {
 		err := config.Parse("f", []byte(text), config.DefaultEntry())
 		Expect(err).To(MatchError(ContainSubstring(want)))
 	},
-		Entry("broken JSON, with its line", "{\n\"jobs\": }", "f:2: "),
+		Entry("invalid JSON, with the line number", "{\n\"jobs\": }", "f:2: "),
 		Entry("a field given twice", strings.Replace(good, `"teams"`, `"teams": ["x"], "teams"`, 1), "given twice"),
 		Entry("a null", strings.Replace(good, `"30s"`, `null`, 1), "jobs.max_timeout"),
-		Entry("a list in place of an object", `[]`, "an object"),
+		Entry("an array in place of an object", `[]`, "an object"),
 		Entry("a missing list of holders", `{"jobs": {"teams": ["a"], "pools": ["b"]}}`, "claims.holders: empty"),
-		Entry("a holder named twice", strings.Replace(good, `"10.0.0.1:7071"`, `"10.0.0.1:7071", "10.0.0.1:7071"`, 1), "each address once"),
+		Entry("a duplicate holder", strings.Replace(good, `"10.0.0.1:7071"`, `"10.0.0.1:7071", "10.0.0.1:7071"`, 1), "each address once"),
 		Entry("frames too small for a payload", strings.Replace(good, `"max_timeout"`, `"max_payload": 1000000, "max_timeout"`, 1)[:2]+`"peers": {"max_frame": 65536}, `+strings.Replace(good, `"max_timeout"`, `"max_payload": 1000000, "max_timeout"`, 1)[2:], "jobs.max_payload"),
 	)
 
-	DescribeTable("keeps commits within the writes that the store takes", func(partitions uint32, writes float64, want time.Duration) {
+	DescribeTable("keeps commits within the writes that the store accepts", func(partitions uint32, writes float64, want time.Duration) {
 		s := config.DefaultScheduler()
 		s.Partitions, s.StoreWrites = partitions, writes
 		gap := s.Core("nadi").CommitGap
@@ -70,13 +70,13 @@
 			Expect(float64(partitions) / gap.Seconds()).To(BeNumerically("<", writes))
 		}
 	},
-		Entry("of few partitions", uint32(4), 1500.0, 10*time.Millisecond),
-		Entry("of as many as the gap was made for", uint32(8), 800.0, 13333*time.Microsecond),
-		Entry("of more", uint32(12), 800.0, 20*time.Millisecond),
-		Entry("that are not limited", uint32(12), 0.0, 10*time.Millisecond),
+		Entry("with few partitions", uint32(4), 1500.0, 10*time.Millisecond),
+		Entry("with the default number of partitions", uint32(8), 800.0, 13333*time.Microsecond),
+		Entry("with more partitions", uint32(12), 800.0, 20*time.Millisecond),
+		Entry("without a limit on writes", uint32(12), 0.0, 10*time.Millisecond),
 	)
 
-	It("has an example for each role that loads", func() {
+	It("has a valid example for each role", func() {
 		for _, r := range config.Roles() {
 			file := filepath.Join("..", "examples", r.Name+".hujson")
 			Expect(config.Load(file, r.Defaults())).To(Succeed(), file)
--- a/config/decode.go
+++ b/config/decode.go
@@ -1,7 +1,9 @@
-// Package config reads the settings of the daemons: JSON with comments, a
-// struct for each section with its defaults beside it, checked strictly. Every
-// problem of a file is reported at once, each with its line and field and with
-// what is allowed.
+// Package config reads the settings files of the daemons: JSON with comments, with a struct and a
+// function of defaults for each section. Unknown fields and values out of range are errors; all
+// problems of a file are reported together, each with its line, its field and the allowed values.
+//
+// The package owns the keys, defaults and limits of all settings, and the conversion to the
+// settings of the packages that use them. It relies on job.ValidName for names.
 package config
 
 import (
@@ -17,16 +19,16 @@
 	"github.com/zeebo/errs"
 )
 
-// Problem is one thing wrong with a settings file.
+// Problem is one error in a settings file.
 type Problem struct {
 	File    string
-	Line    int // from 1; zero when the field is not in the file
-	Field   string
+	Line    int    // from 1; 0 if the field is not in the file
+	Field   string // path of the field, such as jobs.max_tasks
 	Reason  string
 	Allowed string
 }
 
-// String returns the problem as one line, file and line first.
+// String returns the problem as one line of text that begins with the file and the line number.
 func (p Problem) String() string {
 	s := fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Field, p.Reason)
 	if p.Allowed != "" {
@@ -35,10 +37,10 @@
 	return s
 }
 
-// Problems is the error returned for a file that can be read but not used.
+// Problems is the error returned for a file with invalid content.
 type Problems []Problem
 
-// Error returns all problems, a line each.
+// Error returns all problems, one a line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i := range p {
@@ -47,15 +49,16 @@
 	return strings.Join(lines, "\n")
 }
 
-// Settings is the struct of one role's file.
+// Settings is implemented by the struct of each role's settings file.
 type Settings interface {
-	// check reports what is wrong with values that are well-formed.
+	// check reports values that are of the right type but not allowed.
 	check(c *checker)
-	// LogLevel returns the level of the program's own log.
+	// LogLevel returns the level of the program's log.
 	LogLevel() string
 }
 
-// Load reads the file into s, which holds the defaults.
+// Load reads the file into s, which holds the defaults. It returns Problems if the content is
+// invalid.
 func Load(file string, s Settings) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -64,7 +67,8 @@
 	return Parse(file, text, s)
 }
 
-// Parse reads text into s, which holds the defaults; file is used in errors.
+// Parse decodes text into s, which holds the defaults, and returns Problems if text is invalid;
+// file is the name used in them.
 func Parse(file string, text []byte, s Settings) error {
 	d := &decoder{file: file, text: text, lines: make(map[string]int)}
 	root, err := hujson.Parse(text)
@@ -80,18 +84,20 @@
 	return d.problems
 }
 
+// decoder decodes one file and collects its problems.
 type decoder struct {
 	file     string
 	text     []byte
-	lines    map[string]int // by field path
+	lines    map[string]int // line numbers by field path
 	problems Problems
 }
 
+// line returns the line number of a byte offset, from 1.
 func (d *decoder) line(offset int) int {
 	return 1 + bytes.Count(d.text[:min(offset, len(d.text))], []byte("\n"))
 }
 
-// lineOfError finds the line that hujson names in its error.
+// lineOfError returns the line number in an error of hujson; 0 if there is none.
 func (d *decoder) lineOfError(err error) int {
 	var line int
 	if _, text, ok := strings.Cut(err.Error(), "line "); ok {
@@ -157,6 +163,7 @@
 	into.Set(out)
 }
 
+// fieldsOf returns the fields of a struct by their JSON keys.
 func fieldsOf(v reflect.Value) map[string]reflect.Value {
 	fields := make(map[string]reflect.Value)
 	for i := range v.NumField() {
@@ -181,6 +188,7 @@
 	return path + "." + name
 }
 
+// allowedType describes the JSON values that can be decoded into t.
 func allowedType(t reflect.Type) string {
 	if t == reflect.TypeFor[Duration]() {
 		return `a duration such as "250ms"`
--- a/config/dedup.go
+++ b/config/dedup.go
@@ -6,13 +6,14 @@
 	"github.com/lichenfall/lichenfall/jobs/dedup"
 )
 
-// Dedup is the section on best-effort jobs that come to several coordinators.
+// Dedup is the section on best-effort jobs that callers send to several coordinators.
 type Dedup struct {
-	// ResendAfter is the least time after which a caller without an answer sends its job
-	// again; the users' platform sets it.
+	// ResendAfter is the shortest time after which a caller without an answer sends its job
+	// again; the users' platform determines it.
 	ResendAfter Duration `json:"resend_after"`
-	// StartupWait is how long a coordinator that has just begun waits to hear which jobs others
-	// have, once it knows them. Some times what a connection takes; callers wait as long.
+	// StartupWait is how long a coordinator that has just started waits for other coordinators
+	// to announce their jobs, once it knows their addresses. It is several times the duration
+	// of connecting; callers wait as long.
 	StartupWait Duration `json:"greeting"`
 }
 
@@ -25,11 +26,12 @@
 }
 
 func (c *Dedup) check(k *checker) {
-	k.span("copies.resend_after", c.ResendAfter, Duration(100*time.Millisecond), Duration(10*time.Minute))
-	k.span("copies.greeting", c.StartupWait, 0, c.ResendAfter)
+	k.durationBetween("copies.resend_after", c.ResendAfter, Duration(100*time.Millisecond), Duration(10*time.Minute))
+	k.durationBetween("copies.greeting", c.StartupWait, 0, c.ResendAfter)
 }
 
-// Core returns the settings of a table of copies, where the scheduler's leases are those given.
+// Core returns the settings of a dedup.Table; the time until a lost coordinator's runs have ended
+// follows from the scheduler's leases.
 func (c *Dedup) Core(s *Scheduler) dedup.Settings {
 	return dedup.Settings{ResendAfter: c.ResendAfter.D(), RunsEndWithin: s.writeOff(s.BestEffortLease), StartupWait: c.StartupWait.D()}
 }
--- a/config/duration.go
+++ b/config/duration.go
@@ -7,16 +7,16 @@
 	"github.com/zeebo/errs"
 )
 
-// Duration is a time.Duration written as a string such as "250ms" or "10m".
+// Duration is a time.Duration that is a string in JSON, such as "250ms" or "10m".
 type Duration time.Duration
 
 // D returns d as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// MarshalJSON writes the duration as a string.
+// MarshalJSON encodes the duration as a string.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(d.D().String()) }
 
-// UnmarshalJSON reads a string that time.ParseDuration takes.
+// UnmarshalJSON decodes a string in the format of time.ParseDuration.
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err != nil {
--- a/config/golden_test.go
+++ b/config/golden_test.go
@@ -9,7 +9,7 @@
 	"github.com/lichenfall/lichenfall/lib/golden"
 )
 
-// required are the keys without a default, each with a value that is allowed.
+// required replaces the keys without a default by ones with a valid value.
 var required = strings.NewReplacer(
 	`"holders": null`, `"holders": ["10.0.0.1:7071"]`,
 	`"teams": null`, `"teams": ["tabua"]`,
@@ -19,8 +19,8 @@
 	`"listen": ""`, `"listen": "10.0.0.7:9001"`,
 )
 
-// TestSettingsOfRoles holds every key of every role with its default, as `config
-// example` prints them, and that a file with all of them is accepted.
+// TestSettingsOfRoles compares all keys and defaults of every role, as `config example` prints them,
+// with the golden files, and checks that a file with all of them is accepted.
 func TestSettingsOfRoles(t *testing.T) {
 	for _, r := range config.Roles() {
 		text, err := json.MarshalIndent(r.Defaults(), "", "  ")
--- a/config/http.go
+++ b/config/http.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// HTTP is the section on the entry's side towards callers.
+// HTTP is the entry's section on its HTTP server for callers.
 type HTTP struct {
 	Listen        string   `json:"listen"`
-	MaxBody       int64    `json:"max_body"`       // bytes
-	MaxHeader     int      `json:"max_header"`     // bytes
-	HeaderTimeout Duration `json:"header_timeout"` // to send a header
-	BodyTimeout   Duration `json:"body_timeout"`   // to send header and body
+	MaxBody       int64    `json:"max_body"`       // limit on the body of a request, in bytes
+	MaxHeader     int      `json:"max_header"`     // limit on the header of a request, in bytes
+	HeaderTimeout Duration `json:"header_timeout"` // for reading a request's header
+	BodyTimeout   Duration `json:"body_timeout"`   // for reading a request's header and body
 	IdleTimeout   Duration `json:"idle_timeout"`   // between requests on a connection
 	MaxConns      int      `json:"max_conns"`
 }
@@ -30,8 +30,8 @@
 	c.address("http.listen", h.Listen)
 	between(c, "http.max_body", h.MaxBody, 1<<10, 256<<20)
 	between(c, "http.max_header", h.MaxHeader, 1<<10, 1<<20)
-	c.span("http.header_timeout", h.HeaderTimeout, Duration(100*time.Millisecond), Duration(time.Minute))
-	c.span("http.body_timeout", h.BodyTimeout, Duration(100*time.Millisecond), Duration(10*time.Minute))
-	c.span("http.idle_timeout", h.IdleTimeout, Duration(time.Second), Duration(time.Hour))
+	c.durationBetween("http.header_timeout", h.HeaderTimeout, Duration(100*time.Millisecond), Duration(time.Minute))
+	c.durationBetween("http.body_timeout", h.BodyTimeout, Duration(100*time.Millisecond), Duration(10*time.Minute))
+	c.durationBetween("http.idle_timeout", h.IdleTimeout, Duration(time.Second), Duration(time.Hour))
 	between(c, "http.max_conns", h.MaxConns, 1, 1000000)
 }
--- a/config/jobroles.go
+++ b/config/jobroles.go
@@ -1,6 +1,6 @@
 package config
 
-// Coordinator is the file of a coordinator.
+// Coordinator holds the settings of a coordinator.
 type Coordinator struct {
 	Box       Box          `json:"box"`
 	Serving   Serving      `json:"serving"`
@@ -15,8 +15,7 @@
 	Log       Log          `json:"log"`
 }
 
-// DefaultCoordinator returns the defaults of Coordinator. It lacks
-// store.address, which has none.
+// DefaultCoordinator returns the defaults of Coordinator. store.address has no default.
 func DefaultCoordinator() *Coordinator {
 	return &Coordinator{
 		Box:       DefaultBox(),
@@ -37,7 +36,7 @@
 // LogLevel implements Settings.
 func (k *Coordinator) LogLevel() string { return k.Log.Level }
 
-// Worker is the file of a worker.
+// Worker holds the settings of a worker.
 type Worker struct {
 	Box     Box           `json:"box"`
 	Admin   Admin         `json:"admin"`
@@ -49,8 +48,8 @@
 	Log     Log           `json:"log"`
 }
 
-// DefaultWorker returns the defaults of Worker. It lacks store.address,
-// backend.address and backend.listen, which have none.
+// DefaultWorker returns the defaults of Worker. store.address, backend.address and backend.listen
+// have no default.
 func DefaultWorker() *Worker {
 	return &Worker{
 		Box:     DefaultBox(),
--- a/config/jobs.go
+++ b/config/jobs.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Jobs is the section on what callers may submit, and how it is retried.
+// Jobs is the entry's section on limits of submissions and on retries.
 type Jobs struct {
-	Workspaces     []string `json:"teams"` // called teams in the file, as the users first called them
+	Workspaces     []string `json:"teams"` // the key is the users' earlier name for workspaces
 	Pools          []string `json:"pools"`
-	MaxTasks       int      `json:"max_tasks"`       // in a submission
-	MaxPayload     int      `json:"max_payload"`     // bytes of one payload
-	MaxRunning     int      `json:"max_running"`     // tasks that one entry holds
-	MaxWait        Duration `json:"max_wait"`        // for a slot, beyond which new jobs are refused
-	MaxTimeout     Duration `json:"max_timeout"`     // until a deadline
-	DefaultTimeout Duration `json:"default_timeout"` // when the caller names none
-	Grace          Duration `json:"grace"`           // after a deadline, for the agents' word
-	Attempts       int      `json:"attempts"`        // at placing a task
-	RetryRatio     float64  `json:"retry_ratio"`     // retries for each task
-	RetryBurst     float64  `json:"retry_burst"`     // retries saved up
+	MaxTasks       int      `json:"max_tasks"`       // limit on the tasks of a submission
+	MaxPayload     int      `json:"max_payload"`     // limit on the payload of a task, in bytes
+	MaxRunning     int      `json:"max_running"`     // limit on the tasks that one entry holds
+	MaxWait        Duration `json:"max_wait"`        // expected wait for a slot above which new jobs are refused
+	MaxTimeout     Duration `json:"max_timeout"`     // longest time until a deadline
+	DefaultTimeout Duration `json:"default_timeout"` // time until the deadline if the caller sets none
+	Grace          Duration `json:"grace"`           // time after a deadline to receive the agents' results
+	Attempts       int      `json:"attempts"`        // limit on placing a task, the first time included
+	RetryRatio     float64  `json:"retry_ratio"`     // retries that each task adds to the budget
+	RetryBurst     float64  `json:"retry_burst"`     // limit on the unused retries in the budget
 	RetryPause     Duration `json:"retry_pause"`     // before the second retry
 	RetryPauseMax  Duration `json:"retry_pause_max"` // before any later one
-	StopTimeout    Duration `json:"stop_timeout"`    // for jobs in flight at a planned stop
+	StopTimeout    Duration `json:"stop_timeout"`    // how long a planned stop waits for open jobs
 }
 
 // DefaultJobs returns the defaults of Jobs.
@@ -46,14 +46,14 @@
 	between(c, "jobs.max_tasks", j.MaxTasks, 1, 4096)
 	between(c, "jobs.max_payload", j.MaxPayload, 16, 1<<20)
 	between(c, "jobs.max_running", j.MaxRunning, 1, 1000000)
-	c.span("jobs.max_wait", j.MaxWait, Duration(time.Millisecond), Duration(time.Hour))
-	c.span("jobs.max_timeout", j.MaxTimeout, Duration(time.Second), Duration(time.Hour))
-	c.span("jobs.default_timeout", j.DefaultTimeout, Duration(time.Millisecond), j.MaxTimeout)
-	c.span("jobs.grace", j.Grace, Duration(time.Millisecond), Duration(5*time.Second))
+	c.durationBetween("jobs.max_wait", j.MaxWait, Duration(time.Millisecond), Duration(time.Hour))
+	c.durationBetween("jobs.max_timeout", j.MaxTimeout, Duration(time.Second), Duration(time.Hour))
+	c.durationBetween("jobs.default_timeout", j.DefaultTimeout, Duration(time.Millisecond), j.MaxTimeout)
+	c.durationBetween("jobs.grace", j.Grace, Duration(time.Millisecond), Duration(5*time.Second))
 	between(c, "jobs.attempts", j.Attempts, 1, 20)
 	between(c, "jobs.retry_ratio", j.RetryRatio, 0, 1)
 	between(c, "jobs.retry_burst", j.RetryBurst, 0, 100000)
-	c.span("jobs.retry_pause", j.RetryPause, Duration(time.Millisecond), Duration(time.Second))
-	c.span("jobs.retry_pause_max", j.RetryPauseMax, j.RetryPause, Duration(10*time.Second))
-	c.span("jobs.stop_timeout", j.StopTimeout, Duration(time.Second), Duration(time.Hour))
+	c.durationBetween("jobs.retry_pause", j.RetryPause, Duration(time.Millisecond), Duration(time.Second))
+	c.durationBetween("jobs.retry_pause_max", j.RetryPauseMax, j.RetryPause, Duration(10*time.Second))
+	c.durationBetween("jobs.stop_timeout", j.StopTimeout, Duration(time.Second), Duration(time.Hour))
 }
--- a/config/loadpolicy.go
+++ b/config/loadpolicy.go
@@ -7,21 +7,24 @@
 	"github.com/lichenfall/lichenfall/jobs/scheduler"
 )
 
-// LoadPolicy is the coordinator's section on what it does when not all that is asked for fits, or
-// servers are not alike. Each part can be switched off; with equal servers, one priority and
-// room for all, none of them changes anything.
+// LoadPolicy is the coordinator's section on scheduling when demand exceeds the capacity, or backend
+// servers differ in speed. Each part can be switched off; with equal servers, one priority and
+// enough capacity for all tasks, none of them has an effect.
 type LoadPolicy struct {
-	// PlaceBySpeed has tasks placed, limited and judged by the usual speed of servers.
+	// PlaceBySpeed makes placement, run limits and outlier detection take the baseline speed of
+	// each backend server into account.
 	PlaceBySpeed bool `json:"place_by_speed"`
-	// AskForRoom has workers share out room by the order of all that waits, in place of a
-	// race of orders.
+	// AskForRoom makes coordinators request capacity from workers, which grant it in the order
+	// of all waiting tasks. Otherwise the first request to start a run gets the capacity.
 	AskForRoom bool `json:"ask_for_room"`
-	// AdmitByAll has jobs judged by what waits at all coordinators that ask for room.
+	// AdmitByAll makes admission count the waiting work of all coordinators that request
+	// capacity.
 	AdmitByAll bool `json:"admit_by_all"`
-	// OrderByPriority has each priority come before the later ones, and not the first alone.
+	// OrderByPriority makes each priority precede the lower ones. Otherwise only the highest
+	// priority precedes the others.
 	OrderByPriority bool `json:"order_by_priority"`
-	// RemoteFactor is how many times as long a task takes away from its data; the users'
-	// platform sets it. 1 where it makes no difference.
+	// RemoteFactor is how many times as long a task takes outside the rack of its data; the
+	// users' platform determines it. 1 if there is no difference.
 	RemoteFactor float64 `json:"remote_factor"`
 }
 
@@ -30,7 +33,7 @@
 	return LoadPolicy{PlaceBySpeed: true, AskForRoom: true, AdmitByAll: true, OrderByPriority: true, RemoteFactor: 1}
 }
 
-// Core returns the settings for the scheduler.
+// Core returns the settings of the scheduler's core.
 func (l *LoadPolicy) Core() scheduler.LoadPolicy {
 	return scheduler.LoadPolicy(*l)
 }
@@ -39,10 +42,10 @@
 	between(c, "scheduler.load.remote_factor", l.RemoteFactor, 1, 1000)
 }
 
-// Room is the worker's section on how free room is shared among coordinators that ask.
+// Room is the worker's section on granting free capacity to coordinators that request it.
 type Room struct {
-	Grant Duration `json:"grant"` // how long room is kept for a coordinator that was told of it
-	Ask   Duration `json:"ask"`   // how long an ask stands that is not repeated
+	Grant Duration `json:"grant"` // how long advertised capacity is reserved for a coordinator
+	Ask   Duration `json:"ask"`   // how long a capacity request is valid if it is not repeated
 }
 
 // DefaultRoom returns the defaults of Room.
@@ -50,13 +53,13 @@
 	return Room{Grant: Duration(15 * time.Millisecond), Ask: Duration(150 * time.Millisecond)}
 }
 
-// Core returns the settings for the core.
+// Core returns the settings of a room.Table.
 func (r *Room) Core() room.Settings {
 	return room.Settings{GrantTTL: r.Grant.D(), RequestTTL: r.Ask.D()}
 }
 
 func (r *Room) check(c *checker) {
 	second := Duration(time.Second)
-	c.span("runs.room.grant", r.Grant, Duration(time.Millisecond), second)
-	c.span("runs.room.ask", r.Ask, Duration(10*time.Millisecond), 10*second)
+	c.durationBetween("runs.room.grant", r.Grant, Duration(time.Millisecond), second)
+	c.durationBetween("runs.room.ask", r.Ask, Duration(10*time.Millisecond), 10*second)
 }
--- a/config/log.go
+++ b/config/log.go
@@ -1,6 +1,6 @@
 package config
 
-// Log is the section on the program's own log.
+// Log is the section on the program's log.
 type Log struct {
 	Level  string `json:"level"`
 	Format string `json:"format"`
--- a/config/ownership.go
+++ b/config/ownership.go
@@ -4,21 +4,21 @@
 	"time"
 )
 
-// Ownership is the section on the group of coordinators that own the store's
+// Ownership is the section on the group of coordinators among which the store divides its
 // partitions.
 type Ownership struct {
-	// TTL is how long a join holds: after it another coordinator gets the partitions.
-	// The least that the store grants is 1 s; design 0004 adds up a takeover.
+	// TTL is how long a join is valid. After it, another coordinator may get the partitions.
+	// The store grants no TTL below 1 s; design 0004 has the calculation of a takeover.
 	TTL         Duration `json:"ttl"`
-	Join        Duration `json:"join"`         // between joins; four of them fit into a TTL
-	CallLimit   Duration `json:"call_limit"`   // for one join; within a TTL
-	AppendLimit Duration `json:"append_limit"` // for one append, before it is repeated
-	ReadLimit   Duration `json:"read_limit"`   // to read a partition
-	// Announce is the time between announcements to other coordinators, where they would send
-	// a call to the wrong place.
+	Join        Duration `json:"join"`         // interval between joins; four of them fit into a TTL
+	CallLimit   Duration `json:"call_limit"`   // timeout of one join; at most a TTL
+	AppendLimit Duration `json:"append_limit"` // timeout of one append, after which it is repeated
+	ReadLimit   Duration `json:"read_limit"`   // timeout for reading a partition
+	// Announce is the interval between announcements to other coordinators, which would
+	// otherwise forward calls to the wrong coordinator.
 	Announce     Duration `json:"tell"`
-	Flush        Duration `json:"flush"`         // longest wait for the store at a planned stop
-	ReconnectMax Duration `json:"reconnect_max"` // longest pause before a lost peer is dialled
+	Flush        Duration `json:"flush"`         // limit on the wait for the store at a planned stop
+	ReconnectMax Duration `json:"reconnect_max"` // longest pause before a lost peer is dialled again
 }
 
 // DefaultOwnership returns the defaults of Ownership.
@@ -37,12 +37,12 @@
 
 func (o *Ownership) check(c *checker) {
 	second := Duration(time.Second)
-	c.span("ownership.ttl", o.TTL, second, 60*second)
-	c.span("ownership.join", o.Join, Duration(10*time.Millisecond), o.TTL/2)
-	c.span("ownership.call_limit", o.CallLimit, Duration(10*time.Millisecond), o.TTL)
-	c.span("ownership.append_limit", o.AppendLimit, Duration(10*time.Millisecond), 60*second)
-	c.span("ownership.read_limit", o.ReadLimit, Duration(10*time.Millisecond), 60*second)
-	c.span("ownership.tell", o.Announce, Duration(10*time.Millisecond), 10*second)
-	c.span("ownership.flush", o.Flush, 0, 60*second)
-	c.span("ownership.reconnect_max", o.ReconnectMax, Duration(10*time.Millisecond), 60*second)
+	c.durationBetween("ownership.ttl", o.TTL, second, 60*second)
+	c.durationBetween("ownership.join", o.Join, Duration(10*time.Millisecond), o.TTL/2)
+	c.durationBetween("ownership.call_limit", o.CallLimit, Duration(10*time.Millisecond), o.TTL)
+	c.durationBetween("ownership.append_limit", o.AppendLimit, Duration(10*time.Millisecond), 60*second)
+	c.durationBetween("ownership.read_limit", o.ReadLimit, Duration(10*time.Millisecond), 60*second)
+	c.durationBetween("ownership.tell", o.Announce, Duration(10*time.Millisecond), 10*second)
+	c.durationBetween("ownership.flush", o.Flush, 0, 60*second)
+	c.durationBetween("ownership.reconnect_max", o.ReconnectMax, Duration(10*time.Millisecond), 60*second)
 }
--- a/config/peers.go
+++ b/config/peers.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Peers is the section on connections between the system's own processes.
+// Peers is the section on connections between lichenfall's own processes.
 type Peers struct {
-	Listen     string   `json:"listen"`      // IP number and port
-	Advertise  string   `json:"advertise"`   // how peers reach it; empty means as listened
-	MaxFrame   int      `json:"max_frame"`   // bytes
-	ClockBound Duration `json:"clock_bound"` // greatest difference between two clocks
+	Listen     string   `json:"listen"`      // IP address and port
+	Advertise  string   `json:"advertise"`   // address at which peers reach the process; empty for the one listened on
+	MaxFrame   int      `json:"max_frame"`   // limit on the size of a frame, in bytes
+	ClockBound Duration `json:"clock_bound"` // limit on the difference to a peer's clock
 }
 
 // DefaultPeers returns the defaults of Peers.
@@ -21,5 +21,5 @@
 		c.address("peers.advertise", p.Advertise)
 	}
 	between(c, "peers.max_frame", p.MaxFrame, 64<<10, 64<<20)
-	c.span("peers.clock_bound", p.ClockBound, Duration(10*time.Millisecond), Duration(10*time.Second))
+	c.durationBetween("peers.clock_bound", p.ClockBound, Duration(10*time.Millisecond), Duration(10*time.Second))
 }
--- a/config/placement.go
+++ b/config/placement.go
@@ -2,28 +2,27 @@
 
 import "time"
 
-// Placement is the section on the choice of an agent for a task.
+// Placement is the entry's section on the choice of an agent for a task.
 type Placement struct {
-	// Choices is the number of agents drawn at random, of which the least
-	// loaded is taken; 0 looks at all in a pool of up to 64 agents, and draws 16
-	// of a larger one. Other values answer later under load and
-	// stay for operators who have set them.
+	// Choices is the number of agents drawn at random, of which the least loaded is chosen. 0
+	// compares all agents of a pool of up to 64, and draws 16 of a larger one. Other values have
+	// longer response times under load; they remain for operators who have set them.
 	Choices int `json:"choices"`
-	// Bounces is how often a task may be handed back by an agent that holds more
-	// tasks than the entry thought, Slack how many more are borne. They buy
-	// response time with messages. Slack above 0 lost the measurement and stays for
-	// operators who have set it.
+	// Bounces is how often an agent may return a task because it holds more tasks than the
+	// entry assumed; Slack is by how many tasks it may exceed that number without returning the
+	// task. Bounces shorten response times at the cost of messages. Slack above 0 did worse in
+	// benchmarks and remains for operators who have set it.
 	Bounces int `json:"bounces"`
 	Slack   int `json:"slack"`
-	// Worse is how many times as slow as the median of its pool a backend server
-	// must be to be held back; 0 holds none back. WorseShare of a pool may be held
-	// back; Trickle is the share of tasks that go to those held back.
+	// Worse is how many times as slow as the median of its pool a backend server has to be to
+	// be ejected; 0 ejects none. WorseShare is the largest share of a pool that may be ejected.
+	// Trickle is the share of tasks that ejected servers still get.
 	Worse       float64  `json:"worse"`
 	WorseShare  float64  `json:"worse_share"`
 	Trickle     float64  `json:"trickle"`
-	PingAfter   Duration `json:"ping_after"`   // without a word of an agent that holds tasks
-	PingWait    Duration `json:"ping_wait"`    // for its answer, before it gets no more
-	SilentShare float64  `json:"silent_share"` // of the agents, before an entry suspects itself
+	PingAfter   Duration `json:"ping_after"`   // silence after which an agent that holds tasks is pinged
+	PingWait    Duration `json:"ping_wait"`    // how long to wait for its reply, before it gets no more tasks
+	SilentShare float64  `json:"silent_share"` // share of silent agents above which the entry assumes a fault of its own
 }
 
 // DefaultPlacement returns the defaults of Placement.
@@ -47,7 +46,7 @@
 	between(c, "placement.worse", p.Worse, 0, 1000)
 	between(c, "placement.worse_share", p.WorseShare, 0, 1)
 	between(c, "placement.trickle", p.Trickle, 0, 0.5)
-	c.span("placement.ping_after", p.PingAfter, Duration(50*time.Millisecond), Duration(time.Minute))
-	c.span("placement.ping_wait", p.PingWait, Duration(50*time.Millisecond), Duration(time.Minute))
+	c.durationBetween("placement.ping_after", p.PingAfter, Duration(50*time.Millisecond), Duration(time.Minute))
+	c.durationBetween("placement.ping_wait", p.PingWait, Duration(50*time.Millisecond), Duration(time.Minute))
 	between(c, "placement.silent_share", p.SilentShare, 0, 1)
 }
--- a/config/roles.go
+++ b/config/roles.go
@@ -1,6 +1,6 @@
 package config
 
-// Entry is the file of an entry.
+// Entry holds the settings of an entry.
 type Entry struct {
 	Box       Box       `json:"box"`
 	HTTP      HTTP      `json:"http"`
@@ -12,8 +12,8 @@
 	Log       Log       `json:"log"`
 }
 
-// DefaultEntry returns the defaults of Entry. It lacks claims.holders,
-// jobs.teams and jobs.pools, which have none.
+// DefaultEntry returns the defaults of Entry. claims.holders, jobs.teams and jobs.pools have no
+// default.
 func DefaultEntry() *Entry {
 	return &Entry{
 		Box:       DefaultBox(),
@@ -37,7 +37,7 @@
 // LogLevel implements Settings.
 func (e *Entry) LogLevel() string { return e.Log.Level }
 
-// Agent is the file of an agent.
+// Agent holds the settings of an agent.
 type Agent struct {
 	Box     Box     `json:"box"`
 	Peers   Peers   `json:"peers"`
@@ -47,8 +47,7 @@
 	Log     Log     `json:"log"`
 }
 
-// DefaultAgent returns the defaults of Agent. It lacks claims.holders and
-// backend.url, which have none.
+// DefaultAgent returns the defaults of Agent. claims.holders and backend.url have no default.
 func DefaultAgent() *Agent {
 	return &Agent{
 		Box:     DefaultBox(),
@@ -70,7 +69,7 @@
 // LogLevel implements Settings.
 func (a *Agent) LogLevel() string { return a.Log.Level }
 
-// Roles returns the defaults of each role by its name.
+// Roles returns all roles that have a settings file.
 func Roles() []Role {
 	return []Role{
 		{"entry", func() Settings { return DefaultEntry() }},
@@ -80,7 +79,7 @@
 	}
 }
 
-// Role is one kind of settings file.
+// Role is the name of a role and a function that returns its default settings.
 type Role struct {
 	Name     string
 	Defaults func() Settings
--- a/config/scheduler.go
+++ b/config/scheduler.go
@@ -6,40 +6,40 @@
 	"github.com/lichenfall/lichenfall/jobs/scheduler"
 )
 
-// Scheduler is the section on jobs and where their tasks run.
+// Scheduler is the coordinator's section on jobs and the placement of their tasks.
 type Scheduler struct {
-	Partitions uint32   `json:"partitions"` // of the store, the same everywhere; the users' platform sets it
-	Heartbeat  Duration `json:"heartbeat"`  // to each worker; an eighth of the owner lease
-	// Suspect is the silence after which a worker is connected to again. Three heartbeats and
-	// some.
+	Partitions uint32   `json:"partitions"` // of the store, equal in all files; the users' platform determines it
+	Heartbeat  Duration `json:"heartbeat"`  // interval between heartbeats to a worker; an eighth of OwnerLease
+	// Suspect is the silence after which the connection to a worker is closed and made again.
+	// It is slightly longer than three heartbeats.
 	Suspect Duration `json:"suspect"`
-	// The leases are those of the workers' section runs, which says where they come
-	// from. In the file, hold is the lease that a backend server grants.
+	// The leases must equal those in the workers' section Runs, which documents them. In the
+	// keys of the file, hold means the lease that a backend server grants.
 	OwnerLease      Duration `json:"owner_lease"`
 	BackendLease    Duration `json:"hold_lease"`
 	BestEffortLease Duration `json:"best_effort_lease"`
 	StopGrace       Duration `json:"stop_grace"`
-	// CommitGap is the least time between two commits of a partition: the store takes
-	// one append in 4 ms. It is longer where StoreWrites asks for that.
+	// CommitGap is the shortest time between two commits of a partition: an append to the store
+	// takes 4 ms. The time in use is longer if StoreWrites requires it.
 	CommitGap Duration `json:"commit_gap"`
-	// StoreWrites is how many writes a second the store takes of all processes together;
-	// the users' platform sets it. 0 sets no limit.
+	// StoreWrites is the number of writes a second that the store accepts from all processes
+	// together; the users' platform determines it. 0 sets no limit.
 	StoreWrites float64 `json:"store_writes"`
-	// LazyCommit is how long an end may wait that no caller waits for, so that ends share
-	// commits.
+	// LazyCommit is how long the end of a job may wait for a commit if no caller waits for it,
+	// so that several ends share a commit.
 	LazyCommit Duration `json:"lazy_commit"`
-	// CallLimit is when a caller is told that the outcome is unknown. Less than the 1.3 s
-	// after which callers try again.
+	// CallLimit is the time after which a caller gets the answer that the outcome is unknown. It
+	// is less than the 1.3 s after which callers retry.
 	CallLimit   Duration `json:"call_limit"`
-	RetryAfter  Duration `json:"retry_after"`  // what refused callers are told at least; the least that the header can say
-	CommitRetry Duration `json:"commit_retry"` // pause after the store refused
-	KeepFinal   Duration `json:"keep_final"`   // how long the state of ended jobs is kept; the users' platform sets it
-	// StateWait is how long the answer to a question waits for a job's end, so that callers
-	// ask less often.
+	RetryAfter  Duration `json:"retry_after"`  // minimum of Retry-After for refused callers; the header has whole seconds
+	CommitRetry Duration `json:"commit_retry"` // pause after the store refused a commit
+	KeepFinal   Duration `json:"keep_final"`   // how long the state of ended jobs is kept; the users' platform determines it
+	// StateWait is how long the answer to a request for a job's state is delayed until the job
+	// ends, so that callers poll less often.
 	StateWait Duration `json:"state_wait"`
-	MaxBatch  int      `json:"max_batch"` // bytes of one commit; half of what the store takes in a call
-	MaxJobs   int      `json:"max_jobs"`  // of one coordinator that have not ended
-	// A run is stopped as a straggler after so many times its estimate, and this much more.
+	MaxBatch  int      `json:"max_batch"` // limit on a commit in bytes; half of what the store accepts in a call
+	MaxJobs   int      `json:"max_jobs"`  // limit on the jobs of one coordinator that have not ended
+	// A run is stopped as a straggler after StragglerX times its estimate plus StragglerMin.
 	StragglerX   float64    `json:"straggler_x"`
 	StragglerMin Duration   `json:"straggler_min"`
 	Load         LoadPolicy `json:"load"`
@@ -70,51 +70,51 @@
 	}
 }
 
-// drift is by how much the clock of a backend server may run slow: the users'
+// drift is the largest fraction by which the clock of a backend server may run slow: the users'
 // platform allows 2 %.
 const drift = 0.02
 
-// writeOffMargin is added since timers fire late.
+// writeOffMargin allows for timers that fire late.
 const writeOffMargin = 100 * time.Millisecond
 
-// writeOff returns how long after its last heartbeat a worker may still run what
-// it was ordered to, when the owner's lease lasts so long: the lease, the time to
-// stop its runs one by one, and the backend server's own lease by its clock.
+// writeOff returns the time after its last heartbeat during which a worker may still run tasks,
+// for an owner's lease of the given length. It is the sum of that lease, the time for stopping the
+// runs one by one, and the backend server's own lease by a clock that runs slow.
 func (s *Scheduler) writeOff(lease Duration) time.Duration {
-	return lease.D() + s.StopGrace.D() + time.Duration((1+drift)*float64(min(leaseAsked, s.BackendLease))) + writeOffMargin
+	return lease.D() + s.StopGrace.D() + time.Duration((1+drift)*float64(min(maxRequestedLease, s.BackendLease))) + writeOffMargin
 }
 
 func (s *Scheduler) check(c *checker) {
 	second := Duration(time.Second)
 	between(c, "scheduler.partitions", s.Partitions, 1, 4096)
-	c.span("scheduler.heartbeat", s.Heartbeat, Duration(10*time.Millisecond), s.OwnerLease/2)
-	c.span("scheduler.suspect", s.Suspect, s.Heartbeat, s.OwnerLease)
-	c.span("scheduler.owner_lease", s.OwnerLease, Duration(100*time.Millisecond), 60*second)
-	c.span("scheduler.best_effort_lease", s.BestEffortLease, Duration(100*time.Millisecond), 60*second)
-	c.span("scheduler.stop_grace", s.StopGrace, 0, 10*second)
-	c.span("scheduler.hold_lease", s.BackendLease, Duration(100*time.Millisecond), 60*second)
-	c.span("scheduler.commit_gap", s.CommitGap, 0, second)
+	c.durationBetween("scheduler.heartbeat", s.Heartbeat, Duration(10*time.Millisecond), s.OwnerLease/2)
+	c.durationBetween("scheduler.suspect", s.Suspect, s.Heartbeat, s.OwnerLease)
+	c.durationBetween("scheduler.owner_lease", s.OwnerLease, Duration(100*time.Millisecond), 60*second)
+	c.durationBetween("scheduler.best_effort_lease", s.BestEffortLease, Duration(100*time.Millisecond), 60*second)
+	c.durationBetween("scheduler.stop_grace", s.StopGrace, 0, 10*second)
+	c.durationBetween("scheduler.hold_lease", s.BackendLease, Duration(100*time.Millisecond), 60*second)
+	c.durationBetween("scheduler.commit_gap", s.CommitGap, 0, second)
 	between(c, "scheduler.store_writes", s.StoreWrites, 0, 1e9)
-	c.span("scheduler.lazy_commit", s.LazyCommit, 0, 10*second)
-	c.span("scheduler.call_limit", s.CallLimit, Duration(10*time.Millisecond), 60*second)
-	c.span("scheduler.retry_after", s.RetryAfter, Duration(10*time.Millisecond), 60*second)
-	c.span("scheduler.commit_retry", s.CommitRetry, 0, 10*second)
-	c.span("scheduler.keep_final", s.KeepFinal, second, 24*3600*second)
-	c.span("scheduler.state_wait", s.StateWait, 0, 10*second)
+	c.durationBetween("scheduler.lazy_commit", s.LazyCommit, 0, 10*second)
+	c.durationBetween("scheduler.call_limit", s.CallLimit, Duration(10*time.Millisecond), 60*second)
+	c.durationBetween("scheduler.retry_after", s.RetryAfter, Duration(10*time.Millisecond), 60*second)
+	c.durationBetween("scheduler.commit_retry", s.CommitRetry, 0, 10*second)
+	c.durationBetween("scheduler.keep_final", s.KeepFinal, second, 24*3600*second)
+	c.durationBetween("scheduler.state_wait", s.StateWait, 0, 10*second)
 	between(c, "scheduler.max_batch", s.MaxBatch, 4096, 64<<20)
 	between(c, "scheduler.max_jobs", s.MaxJobs, 1, 10000000)
 	between(c, "scheduler.straggler_x", s.StragglerX, 1, 1000)
 	s.Load.check(c)
-	c.span("scheduler.straggler_min", s.StragglerMin, 0, 60*second)
+	c.durationBetween("scheduler.straggler_min", s.StragglerMin, 0, 60*second)
 }
 
-// commitShare is the share of the store's writes that commits may take; the rest is for joins,
-// fences and registrations.
+// commitShare is the share of StoreWrites that commits may use; the rest is left for joins, fences
+// and registrations.
 const commitShare = 0.75
 
-// commitGap returns the least time between two commits of a partition with which all
-// partitions together stay within the store's writes: what is beyond them is refused,
-// and a refused commit refuses its callers.
+// commitGap returns the time between two commits of a partition, long enough for the commits of all
+// partitions together to stay within their share of StoreWrites: the store refuses writes above
+// that rate, and the callers of a refused commit are refused too.
 func (s *Scheduler) commitGap() time.Duration {
 	gap := s.CommitGap.D()
 	if s.StoreWrites <= 0 {
--- a/config/serving.go
+++ b/config/serving.go
@@ -4,10 +4,10 @@
 	"time"
 )
 
-// Serving is the coordinator's section on where callers come.
+// Serving is the coordinator's section on its HTTP server for callers.
 type Serving struct {
-	Listen   string `json:"listen"` // callers
-	Ready    string `json:"ready"`  // the balancer's question whether callers may come
+	Listen   string `json:"listen"` // address for callers
+	Ready    string `json:"ready"`  // address for the load balancer's readiness check
 	MaxConns int    `json:"max_conns"`
 }
 
@@ -16,24 +16,24 @@
 	return Serving{Listen: "127.0.0.1:0", Ready: "127.0.0.1:0", MaxConns: 2000}
 }
 
-// Process is the section on what a process may take of its box.
+// Process is the section on a process's memory and on its stop.
 type Process struct {
-	MemoryMiB int64    `json:"memory_mib"` // the box's limit; 0 is none
-	Grace     Duration `json:"grace"`      // from a stop signal to the end
+	MemoryMiB int64    `json:"memory_mib"` // limit on the memory of the process; 0 sets none
+	Grace     Duration `json:"grace"`      // longest time from a stop signal to the end of the process
 }
 
 // DefaultProcess returns the defaults of Process.
 func DefaultProcess() Process { return Process{Grace: Duration(5 * time.Second)} }
 
-// StoreAddress is the section on the log service that keeps the state.
+// StoreAddress is the section on the log service that stores jobs.
 type StoreAddress struct {
 	Address string `json:"address"`
 }
 
 // WorkerBackend is the worker's section on its backend server.
 type WorkerBackend struct {
-	Address string `json:"address"` // where the backend server takes orders
-	Listen  string `json:"listen"`  // where it sends its heartbeats
+	Address string `json:"address"` // where the backend server accepts calls
+	Listen  string `json:"listen"`  // where the worker receives the backend server's heartbeats
 }
 
 func (s *Serving) check(c *checker) {
@@ -44,7 +44,7 @@
 
 func (p *Process) check(c *checker) {
 	between(c, "process.memory_mib", p.MemoryMiB, 0, 1<<20)
-	c.span("process.grace", p.Grace, 0, Duration(time.Hour))
+	c.durationBetween("process.grace", p.Grace, 0, Duration(time.Hour))
 }
 
 func (s *StoreAddress) check(c *checker) { c.address("store.address", s.Address) }
--- a/config/subset.go
+++ b/config/subset.go
@@ -2,16 +2,16 @@
 
 import "github.com/lichenfall/lichenfall/jobs/subset"
 
-// Subset is the section on the workers that a coordinator keeps connections to.
+// Subset is the section on the workers that a coordinator connects to.
 type Subset struct {
-	Size     int `json:"size"`     // workers of each service; all where there are no more
-	Coverage int `json:"coverage"` // coordinators that each worker should have at least
+	Size     int `json:"size"`     // workers of each service; all workers if there are fewer
+	Coverage int `json:"coverage"` // coordinators that should be connected to each worker, at least
 }
 
 // DefaultSubset returns the defaults of Subset.
 func DefaultSubset() Subset { return Subset{Size: 48, Coverage: 4} }
 
-// Core returns the settings of the choice.
+// Core returns the settings of the choice of workers.
 func (s *Subset) Core() subset.Settings {
 	return subset.Settings{Size: s.Size, Coverage: s.Coverage}
 }
