--- a/config/loadpolicy.go
+++ b/config/loadpolicy.go
@@ -44,22 +44,22 @@
 
 // Room is the worker's section on granting free capacity to coordinators that request it.
 type Room struct {
-	Grant Duration `json:"grant"` // how long advertised capacity is reserved for a coordinator
-	Ask   Duration `json:"ask"`   // how long a capacity request is valid if it is not repeated
+	GrantTTL   Duration `json:"grant"` // how long advertised capacity is reserved for a coordinator
+	RequestTTL Duration `json:"ask"`   // how long a capacity request is valid if it is not repeated
 }
 
 // DefaultRoom returns the defaults of Room.
 func DefaultRoom() Room {
-	return Room{Grant: Duration(15 * time.Millisecond), Ask: Duration(150 * time.Millisecond)}
+	return Room{GrantTTL: Duration(15 * time.Millisecond), RequestTTL: Duration(150 * time.Millisecond)}
 }
 
 // Core returns the settings of a room.Table.
 func (r *Room) Core() room.Settings {
-	return room.Settings{GrantTTL: r.Grant.D(), RequestTTL: r.Ask.D()}
+	return room.Settings{GrantTTL: r.GrantTTL.D(), RequestTTL: r.RequestTTL.D()}
 }
 
 func (r *Room) check(c *checker) {
 	second := Duration(time.Second)
-	c.durationBetween("runs.room.grant", r.Grant, Duration(time.Millisecond), second)
-	c.durationBetween("runs.room.ask", r.Ask, Duration(10*time.Millisecond), 10*second)
+	c.durationBetween("runs.room.grant", r.GrantTTL, Duration(time.Millisecond), second)
+	c.durationBetween("runs.room.ask", r.RequestTTL, Duration(10*time.Millisecond), 10*second)
 }
--- a/jobs/coordinator/coordinator.go
+++ b/jobs/coordinator/coordinator.go
@@ -189,7 +189,7 @@
 }
 
 func (c *Coordinator) hello() *wire.Hello {
-	return peer.Introduction(wire.RoleCoordinator, c.cfg.Box.Name, c.cfg.Box.DataCentre, c.member, c.peers.Advertised())
+	return peer.NewHello(wire.RoleCoordinator, c.cfg.Box.Name, c.cfg.Box.DataCentre, c.member, c.peers.Advertised())
 }
 
 // handleOperatorUpdate applies one reading of the operators' records.
--- a/jobs/runtable/shares_test.go
+++ b/jobs/runtable/shares_test.go
@@ -141,7 +141,7 @@
 		n := full()
 		n.ended()
 		n.perform()
-		n.pass(n.cfg.Room.Grant.D())
+		n.pass(n.cfg.Room.GrantTTL.D())
 		n.perform()
 		Expect(n.told).To(Equal([]string{"b"}))
 		n.orders("b")
@@ -222,7 +222,7 @@
 
 	It("forgets asks that are not repeated", func() {
 		n := full()
-		n.pass(n.cfg.Room.Ask.D())
+		n.pass(n.cfg.Room.RequestTTL.D())
 		n.perform()
 		Expect(n.told).To(Equal([]string{"a", "b", "c"}))
 	})
--- a/jobs/worker/worker.go
+++ b/jobs/worker/worker.go
@@ -147,7 +147,7 @@
 }
 
 func (w *Worker) hello() *wire.Hello {
-	return peer.Introduction(wire.RoleWorker, w.cfg.Box.Name, w.cfg.Box.DataCentre, w.name, w.peers.Advertised())
+	return peer.NewHello(wire.RoleWorker, w.cfg.Box.Name, w.cfg.Box.DataCentre, w.name, w.peers.Advertised())
 }
 
 // Reported takes what the backend server says of itself.
--- a/lib/peer/handshake.go
+++ b/lib/peer/handshake.go
@@ -55,9 +55,9 @@
 	return h, nil
 }
 
-// Introduction returns the Hello of a process, written now. address is where its
+// NewHello returns the Hello of a process, written now. address is where its
 // peers reach it; empty for one that is known by where it was dialled.
-func Introduction(role wire.Role, box, dataCentre, incarnation, address string) *wire.Hello {
+func NewHello(role wire.Role, box, dataCentre, incarnation, address string) *wire.Hello {
 	return &wire.Hello{
 		Version:     wire.Version,
 		Role:        role,
--- a/lib/peer/listener.go
+++ b/lib/peer/listener.go
@@ -87,7 +87,7 @@
 			return
 		}
 		// Where the system refuses it, the limits of Options find a silent peer.
-		_ = tcp.Limit(nc)
+		_ = tcp.SetTimeouts(nc)
 		c := newConn(nc, l.opts)
 		if !l.add(c) {
 			c.Close(ErrClosed)
--- a/lib/tcp/tcp.go
+++ b/lib/tcp/tcp.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Limit sets the limits of a connection that was accepted.
-func Limit(nc net.Conn) error {
+// SetTimeouts sets the limits of a connection that was accepted.
+func SetTimeouts(nc net.Conn) error {
 	c, ok := nc.(*net.TCPConn)
 	if !ok {
 		return nil
--- a/lib/tcp/tcp_test.go
+++ b/lib/tcp/tcp_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	defer accepted.Close()
-	if err := Limit(accepted); err != nil {
+	if err := SetTimeouts(accepted); err != nil {
 		t.Fatal(err)
 	}
 	want := map[string]int{"user timeout": 3000, "keep-alive": 1, "idle": 2, "interval": 1, "count": 2}
--- a/submissions/agent/agent.go
+++ b/submissions/agent/agent.go
@@ -181,7 +181,7 @@
 }
 
 func (a *Agent) hello() *wire.Hello {
-	h := peer.Introduction(wire.RoleAgent, a.cfg.Box.Name, a.cfg.Box.DataCentre, a.incarnation, "")
+	h := peer.NewHello(wire.RoleAgent, a.cfg.Box.Name, a.cfg.Box.DataCentre, a.incarnation, "")
 	h.Pool = a.cfg.Backend.Pool
 	h.Slots = uint32(a.cfg.Backend.Slots)
 	h.Queue = uint32(a.cfg.Backend.Queue)
--- a/submissions/entry/entry.go
+++ b/submissions/entry/entry.go
@@ -215,7 +215,7 @@
 }
 
 func (e *Entry) hello() *wire.Hello {
-	h := peer.Introduction(wire.RoleEntry, e.cfg.Box.Name, e.cfg.Box.DataCentre, e.incarnation, e.listener.Advertised())
+	h := peer.NewHello(wire.RoleEntry, e.cfg.Box.Name, e.cfg.Box.DataCentre, e.incarnation, e.listener.Advertised())
 	h.Assignment = e.assignment
 	return h
 }
