--- a/lib/failure/error.go
+++ b/lib/failure/error.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Error is a refusal or failure of one closed kind. It is what the library's
-// functions return where the caller must be answered.
+// Error is a refusal or a failure of one of the kinds. Functions return it where the outcome becomes
+// the answer to a caller.
 type Error struct {
 	Kind       Kind
 	Field      string        // the field at fault, as a path such as "tasks[3].payload"; may be empty
 	Reason     string        // one sentence
-	Allowed    string        // what the field may hold; may be empty
-	RetryAfter time.Duration // zero when there is no sense in waiting
+	Allowed    string        // the values that the field may have; may be empty
+	RetryAfter time.Duration // when the caller may retry; 0 to leave it open
 }
 
-// New returns an error of the kind with a reason.
+// New returns an error of the kind with the reason.
 func New(k Kind, reason string) *Error {
 	return &Error{Kind: k, Reason: reason}
 }
 
-// InField returns an error of the kind about one field of a request.
+// InField returns an error of the kind that concerns one field of a request.
 func InField(k Kind, field, reason, allowed string) *Error {
 	return &Error{Kind: k, Field: field, Reason: reason, Allowed: allowed}
 }
 
-// Error returns kind, field, reason and what is allowed in one line.
+// Error returns the kind, the field, the reason and the allowed values in one line.
 func (e *Error) Error() string {
 	var b strings.Builder
 	b.WriteString(e.Kind.String())
@@ -42,7 +42,7 @@
 	return b.String()
 }
 
-// From returns err as an *Error; one that is none becomes Internal.
+// From returns the *Error in err's chain, or one of the kind Internal if there is none.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
--- a/lib/failure/failure_test.go
+++ b/lib/failure/failure_test.go
@@ -16,10 +16,10 @@
 }
 
 var _ = Describe("the table of kinds", func() {
-	It("has a whole line for each kind, and no name twice", func() {
+	It("has a complete row for each kind, and unique names", func() {
 		names := make(map[string]bool)
 		for i, r := range failure.Table() {
-			Expect(int(r.Kind)).To(Equal(i), "line %d is out of order", i)
+			Expect(int(r.Kind)).To(Equal(i), "row %d is out of order", i)
 			Expect(r.Name).To(MatchRegexp(`^[a-z_]+$`))
 			Expect(names).NotTo(HaveKey(r.Name))
 			names[r.Name] = true
@@ -33,13 +33,13 @@
 		}
 	})
 
-	It("answers a kind outside the list as an internal fault", func() {
+	It("treats an unknown kind as an internal error", func() {
 		Expect(failure.Kind(250).Row().Kind).To(Equal(failure.Internal))
 		_, ok := failure.Parse("no such kind")
 		Expect(ok).To(BeFalse())
 	})
 
-	It("advises the same ID only where nothing final was said", func() {
+	It("advises to retry with the same ID only where the outcome is not known", func() {
 		for _, r := range failure.Table() {
 			if r.Retry == failure.RetrySameID {
 				Expect(r.Ran).NotTo(Equal(failure.DidRun), r.Name)
@@ -48,7 +48,7 @@
 		}
 	})
 
-	It("keeps an error's kind through wrapping and names the field", func() {
+	It("finds the error in a wrapped one and prints the field", func() {
 		err := failure.InField(failure.BadRequest, "tasks", "empty", "1 to 150")
 		Expect(failure.From(fmt.Errorf("reading: %w", err))).To(Equal(err))
 		Expect(err.Error()).To(Equal("bad_request: tasks: empty (allowed: 1 to 150)"))
--- a/lib/failure/kind.go
+++ b/lib/failure/kind.go
@@ -1,14 +1,16 @@
-// Package failure holds the closed list of error kinds and the one table that
-// turns a kind into an answer: HTTP status, whether the work ran, and what the
-// caller may do next. Nothing is answered outside this table.
+// Package failure defines the kinds of failure and the table that maps each kind to an answer: the
+// HTTP status, whether the work ran, and what the caller may do next. All failures that callers get
+// are in this table. The package owns the table, holds no other state, and relies on no other
+// package of lichenfall.
 package failure
 
 import "net/http"
 
-// Kind names one way in which a submission or a task can be refused or fail.
+// Kind is one way in which a submission or a task can be refused or fail.
 type Kind uint8
 
-// The closed list of kinds. New kinds go before kindCount and into table.
+// All kinds. The values are sent between processes, so that the order stays; new kinds go before
+// kindCount, and into table.
 const (
 	None Kind = iota
 	BadRequest
@@ -47,18 +49,17 @@
 	kindCount
 )
 
-// Ran says whether the work that an error speaks of was started.
+// Ran says whether the work that a failure concerns was started.
 type Ran uint8
 
-// The three values of Ran. RanUnknown is the zero value, so that a value
-// nobody set never reads as a promise.
+// The values of Ran. RanUnknown is the zero value, so that a field that was not set promises nothing.
 const (
 	RanUnknown Ran = iota
 	NotRun
 	DidRun
 )
 
-// String returns the word used in answers: "unknown", "not run" or "ran".
+// String returns the text used in answers: "unknown", "not run" or "ran".
 func (r Ran) String() string {
 	switch r {
 	case NotRun:
@@ -69,23 +70,23 @@
 	return "unknown"
 }
 
-// Retry is the advice given to the caller with an error.
+// Retry is the advice to the caller on sending the request again.
 type Retry uint8
 
-// The advice values.
+// The values of Retry.
 const (
-	// RetryNever means that the same request will fail again.
+	// RetryNever means that the same request would fail again.
 	RetryNever Retry = iota
-	// RetrySameID means that the caller may send the same submission again
-	// after the pause given; it cannot start twice.
+	// RetrySameID means that the caller may send the same submission again after the time in
+	// Retry-After; it is not started twice.
 	RetrySameID
-	// RetryNewID means that this submission has its final answer; what it asked
-	// for may be sent as a new submission. After "not run" that is safe; after
-	// anything else the caller decides whether it may happen twice.
+	// RetryNewID means that this answer is final for the submission; its content may be sent as
+	// a new submission. That is safe after "not run"; otherwise the caller has to decide whether
+	// the work may be done twice.
 	RetryNewID
 )
 
-// String returns the word used in answers: "never", "same id" or "new id".
+// String returns the text used in answers: "never", "same id" or "new id".
 func (r Retry) String() string {
 	switch r {
 	case RetrySameID:
@@ -96,14 +97,14 @@
 	return "never"
 }
 
-// Row is one line of the table from kind to answer.
+// Row is the row of one kind in the table.
 type Row struct {
 	Kind    Kind
-	Name    string // stable word used in answers, logs and metric labels
+	Name    string // stable name used in answers, logs and metric labels
 	Status  int    // HTTP status
-	Ran     Ran    // what the kind says by itself about the work it speaks of
+	Ran     Ran    // whether the work was started, as far as the kind alone tells
 	Retry   Retry
-	Meaning string // one sentence for the operators' page
+	Meaning string // one sentence for the operators' documentation
 }
 
 var table = [kindCount]Row{
@@ -143,14 +144,14 @@
 	{Internal, "internal", http.StatusInternalServerError, RanUnknown, RetryNever, "A fault of the program; see its log."},
 }
 
-// Table returns a copy of the whole table, in the order of the kinds.
+// Table returns a copy of the table, in the order of the kinds.
 func Table() []Row {
 	rows := make([]Row, kindCount)
 	copy(rows, table[:])
 	return rows
 }
 
-// Row returns the kind's line. A kind outside the list gives that of Internal.
+// Row returns the kind's row, or that of Internal if the kind is unknown.
 func (k Kind) Row() Row {
 	if k >= kindCount {
 		return table[Internal]
@@ -161,7 +162,7 @@
 // String returns the kind's stable name.
 func (k Kind) String() string { return k.Row().Name }
 
-// Parse returns the kind of that name; ok is false when there is none.
+// Parse returns the kind with the name; ok is false if there is none.
 func Parse(name string) (k Kind, ok bool) {
 	for _, r := range table {
 		if r.Name == name {
--- a/lib/golden/golden.go
+++ b/lib/golden/golden.go
@@ -1,7 +1,7 @@
-// Package golden compares what a test produced with a file that is kept in the
-// repository. Such files hold what other programs and stored data rely on:
-// encoded messages and records, settings, HTTP answers, names of metrics. Only
-// tests import it. It owns nothing, and relies on the test's own folder.
+// Package golden compares the output of a test with a golden file of the repository. Golden files
+// hold formats that other programs or stored data rely on: encoded messages and records, settings,
+// HTTP answers, names of metrics. Only tests import the package. It holds no state, and relies on
+// the folder testdata of the test's package.
 package golden
 
 import (
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// writeVariable names the environment variable that makes Check write the files
-// in place of comparing them.
+// writeVariable is the environment variable with which Check writes golden files in place of
+// comparing them.
 const writeVariable = "LICHENFALL_WRITE_GOLDEN"
 
 const (
@@ -20,7 +20,8 @@
 	fileMode = 0o644 // of a file
 )
 
-// Check fails the test unless testdata/name holds exactly got.
+// Check fails the test if the content of testdata/name differs from got. With
+// LICHENFALL_WRITE_GOLDEN set, it writes got to that file.
 func Check(t *testing.T, name, got string) {
 	t.Helper()
 	file := filepath.Join("testdata", name)
@@ -35,14 +36,15 @@
 	if got == string(want) {
 		return
 	}
-	was, is := strings.Split(string(want), "\n"), strings.Split(got, "\n")
-	for i := range max(len(was), len(is)) {
-		if line(was, i) != line(is, i) {
-			t.Fatalf("%s:%d differs\nkept: %s\nnow:  %s", file, i+1, line(was, i), line(is, i))
+	wantLines, gotLines := strings.Split(string(want), "\n"), strings.Split(got, "\n")
+	for i := range max(len(wantLines), len(gotLines)) {
+		if line(wantLines, i) != line(gotLines, i) {
+			t.Fatalf("%s:%d differs\nkept: %s\nnow:  %s", file, i+1, line(wantLines, i), line(gotLines, i))
 		}
 	}
 }
 
+// line returns line i, counted from 0, or a placeholder after the last one.
 func line(lines []string, i int) string {
 	if i >= len(lines) {
 		return "(no such line)"
--- a/lib/ports/ports.go
+++ b/lib/ports/ports.go
@@ -1,6 +1,7 @@
-// Package ports finds loopback addresses for the processes of one machine, in tests
-// and local systems. It owns nothing: an address is free when it is returned, and
-// nobody else takes it, since the system gives those ports to no one.
+// Package ports finds free loopback addresses for processes on one box, in tests and local systems.
+// It reserves nothing: an address is free when it is returned, and stays free because the operating
+// system does not use these ports for outgoing connections and each process has addresses of its
+// own. It relies on Linux, where all of 127.0.0.0/8 is local.
 package ports
 
 import (
@@ -12,22 +13,22 @@
 	"github.com/zeebo/errs"
 )
 
-// Any lets the system choose the port when a process listens.
+// Any is a loopback address for which the operating system chooses the port.
 const Any = "127.0.0.1:0"
 
-// Addresses of their own for each process, on ports that the system gives to
-// no outgoing connection, so that nobody takes them before they are used.
+// Ranges of the addresses. The octets differ between processes; the ports are ones that the operating
+// system does not use for outgoing connections, so that nothing takes an address before it is used.
 const (
 	firstPort  = 7100
 	lastPort   = 30000 // below the ports of outgoing connections on Linux
-	hostsIn8   = 250   // used values of an octet, clear of 0 and 255
-	firstOctet = 10    // of the second octet, clear of what others use
-	octets     = 240   // used values of the second octet
+	hostsIn8   = 250   // number of values in use of an octet, without 0 and 255
+	firstOctet = 10    // first value of the second octet; lower ones may be in use by other programs
+	octets     = 240   // number of values in use of the second octet
 )
 
 var next atomic.Int64
 
-// Free returns n addresses on which nobody listens.
+// Free returns n addresses on which no process listens.
 func Free(n int) ([]string, error) {
 	out := make([]string, 0, n)
 	for len(out) < n {
@@ -47,7 +48,7 @@
 	return out, nil
 }
 
-// candidate returns the k-th address of this process, "" past the last one.
+// candidate returns the k-th address of this process, or "" after the last one.
 func candidate(k int) string {
 	port := firstPort + k/hostsIn8
 	if port > lastPort {
--- a/lib/retry/retry_test.go
+++ b/lib/retry/retry_test.go
@@ -16,7 +16,7 @@
 }
 
 var _ = Describe("retries (hazard 17)", func() {
-	It("are a fixed share of the work, beside a stock", func() {
+	It("are limited to a share of the work plus a burst", func() {
 		b := retry.Budget{Ratio: 0.1, Burst: 5}
 		spent := 0
 		for range 1000 {
@@ -29,13 +29,13 @@
 		Expect(b.Left()).To(BeNumerically("<", 1))
 	})
 
-	It("are none without a budget", func() {
+	It("are not allowed without a budget", func() {
 		var b retry.Budget
 		b.Earn(100)
 		Expect(b.Spend()).To(BeFalse())
 	})
 
-	It("are spaced by a doubling pause with jitter, up to the longest", func() {
+	It("have a delay that doubles up to a maximum, with jitter", func() {
 		b := retry.Backoff{Base: 10 * time.Millisecond, Max: 50 * time.Millisecond}
 		Expect(b.Delay(0, 0)).To(Equal(5 * time.Millisecond))
 		Expect(b.Delay(0, 1)).To(Equal(10 * time.Millisecond))
--- a/lib/tcp/tcp.go
+++ b/lib/tcp/tcp.go
@@ -1,6 +1,6 @@
-// Package tcp sets the limits after which the operating system gives a silent connection
-// up: one whose peer's box has no power, or whose path drops everything, hangs for ever
-// otherwise. It owns nothing, and relies on the socket options of Linux.
+// Package tcp sets the timeouts after which the operating system closes a silent connection. Without
+// them, a connection whose peer's box has lost power, or whose network path drops all packets, would
+// hang forever. The package holds no state and relies on the socket options of Linux.
 package tcp
 
 import (
@@ -9,15 +9,14 @@
 	"time"
 )
 
-// The limits, for a connection with unacknowledged bytes and for an idle one. Linux sends no
-// keep-alive probe while bytes are unacknowledged, so the first does not follow from the
-// others. Each process has shorter ones of its own for what it waits for; these free what it
-// has forgotten.
+// Timeouts of a connection with unacknowledged bytes and of an idle one. Linux sends no keep-alive
+// probe while bytes are unacknowledged, so both are needed. Processes have shorter timeouts of
+// their own for the replies that they wait for; these close the remaining connections.
 const (
 	userTimeout  = 3 * time.Second // TCP_USER_TIMEOUT: unacknowledged bytes
-	keepIdle     = 2 * time.Second // before the first keep-alive probe
-	keepInterval = time.Second     // between probes
-	keepCount    = 2               // unanswered probes that end the connection
+	keepIdle     = 2 * time.Second // idle time before the first keep-alive probe
+	keepInterval = time.Second     // interval between probes
+	keepCount    = 2               // unanswered probes after which the connection is closed
 )
 
 // optionUserTimeout is the number of the socket option TCP_USER_TIMEOUT on Linux.
@@ -25,7 +24,7 @@
 
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: keepIdle, Interval: keepInterval, Count: keepCount}
 
-// Dialer returns a dialer whose connections have the limits; limit is for one dial.
+// Dialer returns a dialer that sets the timeouts on its connections; limit is the timeout of a dial.
 func Dialer(limit time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         limit,
@@ -34,7 +33,7 @@
 	}
 }
 
-// SetTimeouts sets the limits of a connection that was accepted.
+// SetTimeouts sets the timeouts on an accepted connection. It ignores connections that are not TCP.
 func SetTimeouts(nc net.Conn) error {
 	c, ok := nc.(*net.TCPConn)
 	if !ok {
@@ -52,7 +51,8 @@
 
 func setUserTimeout(c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
-		// Where the system has no such option, the keep-alive probes do.
+		// The error is ignored: without this option, the keep-alive probes still close idle
+		// connections.
 		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, optionUserTimeout, int(userTimeout.Milliseconds()))
 	})
 }
--- a/lib/tcp/tcp_test.go
+++ b/lib/tcp/tcp_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestLimits holds the limits of both ends of a connection.
+// TestLimits checks the socket options at both ends of a connection.
 func TestLimits(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,7 +37,7 @@
 	}
 }
 
-// options returns the limits as the operating system has them.
+// options returns the values of the socket options that the operating system has in force.
 func options(t *testing.T, c net.Conn) map[string]int {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
--- a/metrics/agent.go
+++ b/metrics/agent.go
@@ -10,7 +10,7 @@
 	"github.com/lichenfall/lichenfall/submissions/queue"
 )
 
-// Agent counts what an agent does.
+// Agent holds the metrics of an agent.
 type Agent struct {
 	results  map[string]tally.Counter
 	verdicts map[string]tally.Counter
@@ -21,10 +21,10 @@
 	queued   tally.Gauge
 	running  tally.Gauge
 	claims   tally.Gauge
-	forgot   tally.Gauge
+	evicted  tally.Gauge
 }
 
-// NewAgent returns the counters, all at zero.
+// NewAgent registers the metrics of an agent, all at zero.
 func NewAgent(s tally.Scope) *Agent {
 	var verdicts []string
 	for _, v := range claim.Verdicts() {
@@ -40,39 +40,40 @@
 		queued:   s.Gauge("tasks_queued"),
 		running:  s.Gauge("tasks_running"),
 		claims:   s.Gauge("claims_remembered"),
-		forgot:   s.Gauge("claims_forgotten_early"),
+		evicted:  s.Gauge("claims_forgotten_early"),
 	}
 }
 
-// Result counts the end of a task; None is a task that was answered.
+// Result counts the end of a task; failure.None is a task with an answer.
 func (a *Agent) Result(k failure.Kind) { inc(a.results, k.String(), 1) }
 
-// Verdict counts the answer to a claim.
+// Verdict counts a reply to a claim.
 func (a *Agent) Verdict(v claim.Verdict) { inc(a.verdicts, v.String(), 1) }
 
-// Violated counts a broken promise.
+// Violated counts a violated promise.
 func (a *Agent) Violated(promise string) { inc(a.violated, promise, 1) }
 
-// Usage records what the backend server says that it uses.
+// Usage records the usage that the backend server reports.
 func (a *Agent) Usage(cores, bytes float64) {
 	a.usage[0].Update(cores)
 	a.usage[1].Update(bytes)
 }
 
-// Started counts a task handed to the backend server.
+// Started counts a task sent to the backend server.
 func (a *Agent) Started() { a.started.Inc(1) }
 
-// Ran records how long the backend server held a task.
+// Ran records the time from sending a task to the backend server to its end.
 func (a *Agent) Ran(d time.Duration) { a.run.Record(d) }
 
-// Load records the present load.
+// Load records the numbers of tasks that wait and that run.
 func (a *Agent) Load(queued, running int) {
 	a.queued.Update(float64(queued))
 	a.running.Update(float64(running))
 }
 
-// Claims records the size of the claim table.
+// Claims records the number of stored claims, and of claims so far that were evicted before their
+// time for want of space.
 func (a *Agent) Claims(remembered int, evicted uint64) {
 	a.claims.Update(float64(remembered))
-	a.forgot.Update(float64(evicted))
+	a.evicted.Update(float64(evicted))
 }
--- a/metrics/dispatch.go
+++ b/metrics/dispatch.go
@@ -10,7 +10,7 @@
 	"github.com/lichenfall/lichenfall/submissions/dispatch"
 )
 
-// Dispatch counts what an entry decides. It is a dispatch.Counter.
+// Dispatch holds the metrics of an entry. It implements dispatch.Counter.
 type Dispatch struct {
 	answers  map[string]tally.Counter
 	refused  map[string]tally.Counter
@@ -24,7 +24,7 @@
 	placed   tally.Counter
 }
 
-// NewDispatch returns the counters, all at zero.
+// NewDispatch registers the metrics of an entry, all at zero.
 func NewDispatch(s tally.Scope) *Dispatch {
 	kinds := Kinds()
 	var verdicts []string
@@ -45,7 +45,7 @@
 	}
 }
 
-// Kinds returns the names of all error kinds, as used in labels.
+// Kinds returns the names of all kinds of failure, as used in labels.
 func Kinds() []string {
 	var out []string
 	for _, r := range failure.Table() {
@@ -54,32 +54,33 @@
 	return out
 }
 
-// Answered counts a final answer.
+// Answered counts a final answer to a caller.
 func (d *Dispatch) Answered(k failure.Kind) { inc(d.answers, k.String(), 1) }
 
 // Refused counts a task that an agent refused or that failed.
 func (d *Dispatch) Refused(k failure.Kind) { inc(d.refused, k.String(), 1) }
 
-// Retried counts a task placed again.
+// Retried counts a task that was placed again.
 func (d *Dispatch) Retried(k failure.Kind) { inc(d.retried, k.String(), 1) }
 
-// Claimed counts a holder's answer and records how long it took.
+// Claimed counts a reply to a claim and records the time since the claim was sent.
 func (d *Dispatch) Claimed(v claim.Verdict, took time.Duration) {
 	inc(d.claims, v.String(), 1)
 	d.claimed.Record(took)
 }
 
-// Dropped counts a message that came too late or twice.
+// Dropped counts a message that was ignored because it was late or a duplicate.
 func (d *Dispatch) Dropped(reason string) { inc(d.dropped, reason, 1) }
 
-// Violated counts a broken promise.
+// Violated counts a violated promise.
 func (d *Dispatch) Violated(promise string) { inc(d.violated, promise, 1) }
 
-// Resent counts a copy of a known submission.
+// Resent counts a known submission that was sent again; found is its state.
 func (d *Dispatch) Resent(found string) { inc(d.resent, found, 1) }
 
 // Placed counts tasks sent to an agent.
 func (d *Dispatch) Placed(n int) { d.placed.Inc(int64(n)) }
 
-// Suspected counts an agent found silent, or the entry suspecting itself.
+// Suspected counts an agent found silent; who is "self" if the entry assumed a fault of its own,
+// since too many agents were silent.
 func (d *Dispatch) Suspected(who string) { inc(d.suspect, who, 1) }
--- a/metrics/golden_test.go
+++ b/metrics/golden_test.go
@@ -12,8 +12,8 @@
 	"github.com/lichenfall/lichenfall/metrics"
 )
 
-// TestNames holds the name and labels of every metric of ours: dashboards and
-// alerts of the operators name them.
+// TestNames compares the names and labels of all metrics with the golden file: the operators'
+// dashboards and alerts refer to them.
 func TestNames(t *testing.T) {
 	r := metrics.New("role")
 	metrics.NewAgent(r.Scope)
--- a/metrics/jobs.go
+++ b/metrics/jobs.go
@@ -12,8 +12,7 @@
 	"github.com/lichenfall/lichenfall/lib/peer"
 )
 
-// Jobs counts what coordinators and workers of kept jobs do. It is a
-// peer.Counter.
+// Jobs holds the metrics of a coordinator or a worker. It implements peer.Counter.
 type Jobs struct {
 	*Peers
 	scope     tally.Scope
@@ -23,15 +22,16 @@
 	records   tally.Counter
 	store     map[string]storeCounters
 	commit    tally.Histogram
-	classes   []classCounters // by class
+	classes   []classCounters // indexed by class
 	mu        sync.Mutex
 	decisions map[string]tally.Counter
 }
 
-// classCounters count the jobs of one class, which follows from the priority of their queue.
+// classCounters are the metrics of the jobs of one class, which follows from the priority of their
+// queue.
 type classCounters struct {
-	refused tally.Counter   // for want of room
-	wait    tally.Histogram // from coming to the order of a first task
+	refused tally.Counter   // calls refused for lack of capacity
+	wait    tally.Histogram // from a job's arrival to the start request for its first task
 }
 
 func newClassCounters(s tally.Scope, classes int) []classCounters {
@@ -43,25 +43,26 @@
 	return out
 }
 
-// JobRefused counts a call of the class that was refused for want of room.
+// JobRefused counts a call of the class that was refused for lack of capacity.
 func (j *Jobs) JobRefused(class int) { j.classes[class].refused.Inc(1) }
 
-// JobBegun counts a job of the class of which a first task was ordered after so long.
+// JobBegun records how long a job of the class waited until the start of its first task was
+// requested.
 func (j *Jobs) JobBegun(class int, waited time.Duration) {
 	j.classes[class].wait.RecordDuration(waited)
 }
 
-// latencies are the bounds of the histograms.
+// latencies are the bucket bounds of the histograms.
 var latencies = tally.DurationBuckets{
 	time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond,
 	50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 500 * time.Millisecond,
 	time.Second, 2 * time.Second, 5 * time.Second,
 }
 
-// storeCounters count the calls to the store of one kind.
+// storeCounters are the metrics of the calls to the store of one kind.
 type storeCounters struct {
 	calls tally.Counter
-	bytes [2]tally.Counter // of bodies, by peer.Direction
+	bytes [2]tally.Counter // bytes of bodies, indexed by peer.Direction
 }
 
 func newStoreCounters(s tally.Scope, kind string) storeCounters {
@@ -73,8 +74,8 @@
 	return c
 }
 
-// StoreCall counts a call to the store and the bytes of its bodies. A kind that was not
-// named at the start is counted as another.
+// StoreCall counts a call to the store and the bytes of its bodies. A kind that was not given to
+// NewJobs is counted as "other".
 func (j *Jobs) StoreCall(kind string, sent, received int) {
 	c, ok := j.store[kind]
 	if !ok {
@@ -85,8 +86,8 @@
 	c.bytes[peer.In].Inc(int64(received))
 }
 
-// NewJobs returns the counters, all at zero. storeCalls are the kinds of calls to the store,
-// classes is how many classes of jobs there are.
+// NewJobs registers the metrics of a coordinator or a worker, all at zero. storeCalls are the kinds of
+// calls to the store, classes is the number of classes of jobs.
 func NewJobs(s tally.Scope, storeCalls []string, classes int) *Jobs {
 	var kinds []string
 	for _, r := range failure.Table() {
@@ -110,20 +111,21 @@
 	}
 }
 
-// Call counts a caller's request.
+// Call counts a caller's request by the kind of failure, and records its duration.
 func (j *Jobs) Call(_ uint8, kind string, took time.Duration) {
 	inc(j.calls, kind, 1)
 	j.callTime.RecordDuration(took)
 }
 
-// Commit counts a commit.
+// Commit counts a commit by its result, and records its number of records and its duration.
 func (j *Jobs) Commit(result string, records int, took time.Duration) {
 	inc(j.commits, result, 1)
 	j.records.Inc(int64(records))
 	j.commit.RecordDuration(took)
 }
 
-// Decision counts a decision of a core. The names are constants of the code.
+// Decision counts a decision of a core. The caller passes constants only, so that the number of
+// labels is bounded.
 func (j *Jobs) Decision(what string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,6 +1,9 @@
-// Package metrics counts what the daemons do. All names and labels are fixed
-// when a process starts, so that nothing a caller sends can add one; the names of
-// decisions are constants of the code. A file a role; it owns the process's registry.
+// Package metrics defines the metrics of the daemons, one type for each role. All names and labels
+// are fixed when a process starts, so that requests cannot add labels; only the names of decisions
+// are added later, and they are constants of the code.
+//
+// It owns the process's registry and the goroutine that reports to it. It relies on its callers to
+// count what happens.
 package metrics
 
 import (
@@ -13,7 +16,8 @@
 	promreporter "github.com/uber-go/tally/v4/prometheus"
 )
 
-const reportEvery = time.Second
+// reportInterval is the time between two updates of the scraped values.
+const reportInterval = time.Second
 
 // Registry holds the metrics of one process.
 type Registry struct {
@@ -22,7 +26,7 @@
 	close   func() error
 }
 
-// New returns the registry of a process of the role ("entry", "agent").
+// New returns the registry of a process; role is the value of the label role of all its metrics.
 func New(role string) *Registry {
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -34,14 +38,14 @@
 		Separator:              promreporter.DefaultSeparator,
 		SanitizeOptions:        &promreporter.DefaultSanitizerOpts,
 		OmitCardinalityMetrics: true,
-	}, reportEvery)
+	}, reportInterval)
 	return &Registry{Scope: scope, Handler: reporter.HTTPHandler(), close: closer.Close}
 }
 
 // Close stops reporting.
 func (r *Registry) Close() { _ = r.close() }
 
-// labelled returns a counter for each value of one label.
+// labelled returns a counter for each value of a label, by value.
 func labelled(s tally.Scope, name, label string, values []string) map[string]tally.Counter {
 	out := make(map[string]tally.Counter, len(values))
 	for _, v := range values {
@@ -50,8 +54,7 @@
 	return out
 }
 
-// inc adds n to the counter of the value; one that is not among those known
-// from the start is counted as "other".
+// inc adds n to the counter of a label's value; a value that m does not have is counted as "other".
 func inc(m map[string]tally.Counter, value string, n int) {
 	c, ok := m[value]
 	if !ok {
@@ -60,4 +63,5 @@
 	c.Inc(int64(n))
 }
 
+// other is the label of values that are not among the known ones.
 const other = "other"
--- a/metrics/peers.go
+++ b/metrics/peers.go
@@ -7,18 +7,18 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// directions are the labels of peer.Direction.
+// directions are the values of the label direction, indexed by peer.Direction.
 var directions = [...]string{peer.In: "in", peer.Out: "out"}
 
-// Peers counts messages and faults on connections between processes. It is a
+// Peers holds the metrics of messages and faults on connections between processes. It implements
 // peer.Counter.
 type Peers struct {
-	messages [2]map[string]tally.Counter
-	bytes    [2]map[string]tally.Counter // by kind
-	faults   map[string]tally.Counter
+	messages [2]map[string]tally.Counter // indexed by direction, then by wire.Label
+	bytes    [2]map[string]tally.Counter // likewise
+	faults   map[string]tally.Counter    // by reason
 }
 
-// NewPeers returns the counters, all at zero.
+// NewPeers registers the metrics of connections, all at zero.
 func NewPeers(s tally.Scope) *Peers {
 	p := &Peers{}
 	for d, name := range directions {
@@ -30,11 +30,11 @@
 	return p
 }
 
-// Message counts one message.
+// Message counts one message and its size in bytes.
 func (p *Peers) Message(d peer.Direction, m wire.Message, bytes int) {
 	inc(p.messages[d], wire.Label(m), 1)
 	inc(p.bytes[d], wire.Label(m), bytes)
 }
 
-// Fault counts a connection closed by the peer's fault.
+// Fault counts a connection that was closed because of a fault.
 func (p *Peers) Fault(reason string) { inc(p.faults, reason, 1) }
--- a/metrics/scrape.go
+++ b/metrics/scrape.go
@@ -10,9 +10,8 @@
 	"github.com/zeebo/errs"
 )
 
-// MessagesSent returns the number of messages between processes that the
-// process at the URL has sent since its start, by kind. The figures are up to
-// a second old.
+// MessagesSent returns the number of messages that the process at the URL has sent to other
+// lichenfall processes since its start, by kind. The values are up to reportInterval old.
 func MessagesSent(ctx context.Context, url string) (map[string]float64, error) {
 	families, err := scrape(ctx, url)
 	if err != nil {
