--- a/lib/clock/clock.go
+++ b/lib/clock/clock.go
@@ -1,9 +1,10 @@
-// Package clock tells the present time to what decides by leases. The steady clock of the
-// operating system, which package time measures by, stands still while the box is suspended; a
-// lease that is measured by it looks good for as long again as the box was away, in which
-// another may have the lease. A Clock counts that time too, and no step of the time of day.
+// Package clock is the time source of code that decides by leases. The monotonic clock of the
+// operating system, which package time uses, stops while the box is suspended. A lease that is
+// measured by it appears valid for too long, by the duration of the suspension, while another process
+// may hold the lease. A Clock includes the time of suspensions, and is not affected by steps of the
+// wall clock.
 //
-// It owns what is known of the box's suspensions, and relies on CLOCK_BOOTTIME of Linux.
+// It owns the record of the box's suspensions, and relies on CLOCK_BOOTTIME of Linux.
 package clock
 
 import (
@@ -14,110 +15,109 @@
 	"golang.org/x/sys/unix"
 )
 
-// Sources are the clocks of the operating system that a Clock is made from.
+// Sources are the clocks of the operating system that a Clock reads.
 type Sources interface {
-	// Read returns the steady clock and the time of day, each counted from any moment, in
-	// one cheap call.
-	Read() (steady, timeOfDay time.Duration)
-	// Suspended returns for how long the box has been suspended since it was started, or
-	// somewhat less if this process was held up meanwhile.
+	// Read returns the monotonic clock and the wall clock, each counted from an arbitrary time.
+	// It is cheap.
+	Read() (monotonic, wall time.Duration)
+	// Suspended returns the total time for which the box has been suspended since it was
+	// started. The result is too small if this process was delayed during the call.
 	Suspended() (time.Duration, error)
 }
 
-// A suspension shows as a leap of the time of day against the steady clock, which costs
-// nothing to look at; then, and now and then in case a step of the time of day has hidden it,
-// the operating system is asked.
+// A suspension shows as a jump of the wall clock relative to the monotonic clock, which is cheap to
+// detect. Only after a jump, and at intervals in case a step of the wall clock has hidden one, is
+// Sources.Suspended called.
 const (
-	leapLeast = 5 * time.Millisecond   // less than any limit in a core
-	lookEvery = 250 * time.Millisecond // eight system calls a second
-	// firstLooks is how often New asks: what it finds too little would later look like a
-	// suspension.
-	firstLooks = 5
+	minJump       = 5 * time.Millisecond   // less than any timeout in a core
+	checkInterval = 250 * time.Millisecond // costs eight system calls a second
+	// initialReads is how often New calls Sources.Suspended. It uses the largest result: an
+	// initial value that is too small would later look like a suspension.
+	initialReads = 5
 )
 
-// Clock is a steady clock that also counts the time for which the box was suspended. It may
-// be used by several goroutines.
+// Clock is a monotonic clock that includes the time for which the box was suspended. It is safe for
+// concurrent use.
 type Clock struct {
 	sources Sources
-	origin  time.Time // what Now is counted from
+	origin  time.Time // the time at which the monotonic clock was 0
 
 	mu        sync.Mutex
-	before    time.Duration // for which the box had been suspended when the clock was made
-	suspended time.Duration // since then
-	lookedAt  time.Duration // by the steady clock
-	offset    time.Duration // of the time of day from the steady clock, then
+	initial   time.Duration // total time of suspensions when the clock was created
+	suspended time.Duration // time of suspensions since then
+	checkedAt time.Duration // monotonic clock at the latest call of Sources.Suspended
+	offset    time.Duration // wall clock minus monotonic clock at that call
 }
 
-// New returns a clock that begins at origin. It fails if the sources cannot tell of
-// suspensions.
+// New returns a clock whose first reading is origin. It fails if Sources.Suspended does.
 func New(origin time.Time, sources Sources) (*Clock, error) {
-	before := time.Duration(0)
-	for range firstLooks {
+	initial := time.Duration(0)
+	for range initialReads {
 		total, err := sources.Suspended()
 		if err != nil {
 			return nil, err
 		}
-		before = max(before, total)
+		initial = max(initial, total)
 	}
-	steady, timeOfDay := sources.Read()
-	return &Clock{sources: sources, origin: origin.Add(-steady), before: before, lookedAt: steady, offset: timeOfDay - steady}, nil
+	monotonic, wall := sources.Read()
+	return &Clock{sources: sources, origin: origin.Add(-monotonic), initial: initial, checkedAt: monotonic, offset: wall - monotonic}, nil
 }
 
-// Now returns the present time. It never goes back.
+// Now returns the present time, which never decreases.
 func (c *Clock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	steady, timeOfDay := c.sources.Read()
-	c.look(steady, timeOfDay)
-	return c.origin.Add(steady + c.suspended)
+	monotonic, wall := c.sources.Read()
+	c.checkSuspended(monotonic, wall)
+	return c.origin.Add(monotonic + c.suspended)
 }
 
-// Suspended returns for how long the box has been suspended since the clock was made, as of
-// the last Now.
+// Suspended returns the total time for which the box has been suspended since the clock was created,
+// as of the latest Now.
 func (c *Clock) Suspended() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.suspended
 }
 
-// look asks for how long the box has been suspended, if that may have changed.
-func (c *Clock) look(steady, timeOfDay time.Duration) {
-	leap := timeOfDay - steady - c.offset
-	if leap.Abs() < leapLeast && steady-c.lookedAt < lookEvery {
+// checkSuspended calls Sources.Suspended if its result may have changed.
+func (c *Clock) checkSuspended(monotonic, wall time.Duration) {
+	jump := wall - monotonic - c.offset
+	if jump.Abs() < minJump && monotonic-c.checkedAt < checkInterval {
 		return
 	}
-	c.lookedAt, c.offset = steady, timeOfDay-steady
-	// New has seen that it can be told; a single answer that is missing is made up for by
-	// the next look.
+	c.checkedAt, c.offset = monotonic, wall-monotonic
+	// An error is ignored: the call succeeded in New, and the next check makes up for one that
+	// fails.
 	if total, err := c.sources.Suspended(); err == nil {
-		c.suspended = max(c.suspended, total-c.before)
+		c.suspended = max(c.suspended, total-c.initial)
 	}
 }
 
-// System returns a clock by the sources of the operating system.
+// System returns a clock that reads the operating system's clocks.
 func System() (*Clock, error) {
 	now := time.Now()
-	return New(now, system{began: now})
+	return New(now, system{start: now})
 }
 
 // system reads the operating system's clocks.
-type system struct{ began time.Time }
+type system struct{ start time.Time }
 
-// Read implements Sources.
-func (s system) Read() (steady, timeOfDay time.Duration) {
+// Read implements Sources. It counts both clocks from the start of s.
+func (s system) Read() (monotonic, wall time.Duration) {
 	now := time.Now()
-	return now.Sub(s.began), now.Round(0).Sub(s.began.Round(0))
+	return now.Sub(s.start), now.Round(0).Sub(s.start.Round(0))
 }
 
-// Suspended implements Sources: CLOCK_BOOTTIME counts that time, CLOCK_MONOTONIC does not.
-// What passes between the two readings makes the difference less, never more.
+// Suspended implements Sources: CLOCK_BOOTTIME includes the time of suspensions, CLOCK_MONOTONIC does
+// not. Time that passes between the two readings decreases the difference and never increases it.
 func (system) Suspended() (time.Duration, error) {
-	var boot, steady unix.Timespec
+	var boot, monotonic unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
 		return 0, errs.Wrap(err)
 	}
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady); err != nil {
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err != nil {
 		return 0, errs.Wrap(err)
 	}
-	return time.Duration(boot.Nano() - steady.Nano()), nil
+	return time.Duration(boot.Nano() - monotonic.Nano()), nil
 }
--- a/lib/clock/clock_test.go
+++ b/lib/clock/clock_test.go
@@ -16,41 +16,41 @@
 	RunSpecs(t, "clock")
 }
 
-// box is a box with the clocks of Linux.
+// box simulates the clocks of a box.
 type box struct {
-	steady, timeOfDay, suspended time.Duration
-	unseen                       time.Duration // of suspended, which the next answers leave out
-	asked                        int
-	err                          error
+	monotonic, wall, suspended time.Duration
+	missed                     time.Duration // part of suspended that the next results leave out
+	calls                      int
+	err                        error
 }
 
-func (b *box) Read() (steady, timeOfDay time.Duration) { return b.steady, b.timeOfDay }
+func (b *box) Read() (monotonic, wall time.Duration) { return b.monotonic, b.wall }
 
 func (b *box) Suspended() (time.Duration, error) {
-	b.asked++
-	return b.suspended - b.unseen, b.err
+	b.calls++
+	return b.suspended - b.missed, b.err
 }
 
 func (b *box) pass(d time.Duration) {
-	b.steady += d
-	b.timeOfDay += d
+	b.monotonic += d
+	b.wall += d
 }
 
 func (b *box) suspend(d time.Duration) {
-	b.timeOfDay += d
+	b.wall += d
 	b.suspended += d
 }
 
 var _ = Describe("a clock", func() {
 	origin := time.Unix(1000, 0)
 	begin := func() (*box, *clock.Clock) {
-		b := &box{steady: time.Hour, timeOfDay: 300 * time.Hour, suspended: time.Minute}
+		b := &box{monotonic: time.Hour, wall: 300 * time.Hour, suspended: time.Minute}
 		c, err := clock.New(origin, b)
 		Expect(err).NotTo(HaveOccurred())
 		return b, c
 	}
 
-	It("counts what passes, and none of what the box was suspended for before", func() {
+	It("counts elapsed time, without suspensions before its creation", func() {
 		b, c := begin()
 		Expect(c.Now()).To(Equal(origin))
 		b.pass(time.Second)
@@ -58,7 +58,7 @@
 		Expect(c.Suspended()).To(BeZero())
 	})
 
-	It("counts the time of a suspension, with the first look after it", func() {
+	It("includes the time of a suspension from the first reading after it", func() {
 		b, c := begin()
 		b.pass(time.Second)
 		b.suspend(5 * time.Second)
@@ -68,29 +68,29 @@
 		Expect(c.Now()).To(Equal(origin.Add(8 * time.Second)))
 	})
 
-	It("counts no step of the time of day", func() {
+	It("ignores steps of the wall clock", func() {
 		b, c := begin()
-		b.timeOfDay += time.Hour
+		b.wall += time.Hour
 		Expect(c.Now()).To(Equal(origin))
-		b.timeOfDay -= 2 * time.Hour
+		b.wall -= 2 * time.Hour
 		b.pass(time.Second)
 		Expect(c.Now()).To(Equal(origin.Add(time.Second)))
 	})
 
-	It("finds soon a suspension that a step of the time of day has hidden", func() {
+	It("detects a suspension that a step of the wall clock has hidden at the next check", func() {
 		b, c := begin()
 		b.suspend(3 * time.Second)
-		b.timeOfDay -= 3 * time.Second
+		b.wall -= 3 * time.Second
 		Expect(c.Now()).To(Equal(origin))
 		b.pass(250 * time.Millisecond)
 		Expect(c.Now()).To(Equal(origin.Add(3250 * time.Millisecond)))
 	})
 
-	It("does not go back where an answer tells less than one before, or none comes", func() {
+	It("does not go back if a source returns less than before, or fails", func() {
 		b, c := begin()
 		b.suspend(time.Second)
 		c.Now()
-		b.unseen = 10 * time.Millisecond
+		b.missed = 10 * time.Millisecond
 		b.pass(time.Second)
 		Expect(c.Now()).To(Equal(origin.Add(2 * time.Second)))
 		b.err = errors.New("none")
@@ -98,22 +98,22 @@
 		Expect(c.Now()).To(Equal(origin.Add(3 * time.Second)))
 	})
 
-	It("asks for suspensions now and then only", func() {
+	It("reads the time of suspensions at intervals only", func() {
 		b, c := begin()
-		asked := b.asked
+		calls := b.calls
 		for range 1000 {
 			b.pass(time.Millisecond)
 			c.Now()
 		}
-		Expect(b.asked - asked).To(Equal(4))
+		Expect(b.calls - calls).To(Equal(4))
 	})
 
-	It("cannot be made where suspensions cannot be told", func() {
+	It("is not created if the time of suspensions cannot be read", func() {
 		_, err := clock.New(origin, &box{err: errors.New("none")})
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("goes on by the clocks of the operating system", func() {
+	It("advances with the clocks of the operating system", func() {
 		c, err := clock.System()
 		Expect(err).NotTo(HaveOccurred())
 		before := c.Now()
--- a/lib/failure/kind.go
+++ b/lib/failure/kind.go
@@ -9,8 +9,7 @@
 // Kind is one way in which a submission or a task can be refused or fail.
 type Kind uint8
 
-// All kinds. The values are sent between processes, so that the order stays; new kinds go before
-// kindCount, and into table.
+// All kinds. New kinds go before kindCount and into table.
 const (
 	None Kind = iota
 	BadRequest
--- a/lib/golden/golden.go
+++ b/lib/golden/golden.go
@@ -39,7 +39,7 @@
 	wantLines, gotLines := strings.Split(string(want), "\n"), strings.Split(got, "\n")
 	for i := range max(len(wantLines), len(gotLines)) {
 		if line(wantLines, i) != line(gotLines, i) {
-			t.Fatalf("%s:%d differs\nkept: %s\nnow:  %s", file, i+1, line(wantLines, i), line(gotLines, i))
+			t.Fatalf("%s:%d differs\nwant: %s\ngot:  %s", file, i+1, line(wantLines, i), line(gotLines, i))
 		}
 	}
 }
--- a/lib/logging/async.go
+++ b/lib/logging/async.go
@@ -11,17 +11,17 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Bounds of the log of one process.
+// Limits of the log of one process.
 const (
-	asyncBytes     = 256 << 10 // that may wait to be written
-	sampledPerTick = 60        // sampled lines in each sampleTick; measured: 59 lines/s on a quiet day
-	faultsPerTick  = 5         // lines of one fault in each sampleTick
-	sampleTick     = time.Second
-	flushInterval  = 50 * time.Millisecond // between writes
+	maxBuffered    = 256 << 10 // bytes that wait to be written
+	maxSampled     = 60        // sampled lines in a sampleInterval; ordinary load has up to 59 a second
+	maxFaults      = 5         // lines with the same message, logged by Fault, in a sampleInterval
+	sampleInterval = time.Second
+	flushInterval  = 50 * time.Millisecond // time between two writes
 )
 
-// asyncWriter hands lines to a goroutine. It never blocks: when too much
-// waits, lines are dropped and counted.
+// asyncWriter buffers lines for a goroutine that writes them. Write never blocks: if the buffer is
+// full, lines are dropped and counted.
 type asyncWriter struct {
 	out     io.Writer
 	dropped atomic.Int64
@@ -37,10 +37,10 @@
 	return w
 }
 
-// Write is called by zap with one line.
+// Write adds one line to the buffer. Zap calls it.
 func (w *asyncWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
-	if len(w.buf)+len(line) > asyncBytes {
+	if len(w.buf)+len(line) > maxBuffered {
 		w.mu.Unlock()
 		w.dropped.Add(1)
 		return len(line), nil
@@ -54,7 +54,7 @@
 	return len(line), nil
 }
 
-// Sync writes what waits.
+// Sync writes the buffer.
 func (w *asyncWriter) Sync() error {
 	w.mu.Lock()
 	buf := w.buf
@@ -74,8 +74,8 @@
 	}
 }
 
-// NewAsync returns a logger of JSON lines to out, which never blocks its
-// callers. Lines logged through Sampled are sampled.
+// NewAsync returns a logger that writes JSON lines to out and never blocks its callers: it drops lines
+// if out is too slow (Dropped). Its goroutine runs until the process ends.
 func NewAsync(out io.Writer, level string) (*Log, error) {
 	l, err := zap.ParseAtomicLevel(level)
 	if err != nil {
@@ -88,61 +88,60 @@
 	return &Log{Logger: zap.New(core), Level: l, dropped: &w.dropped}, nil
 }
 
-// budget counts the lines of one sampleTick.
-type budget struct {
+// rateLimit counts the lines in the present sampleInterval.
+type rateLimit struct {
 	since time.Time
 	lines int
 }
 
-// take returns whether one more line is within the bound.
-func (b *budget) take(now time.Time, most int) bool {
-	if now.Sub(b.since) >= sampleTick {
-		*b = budget{since: now}
+// allow counts one more line and reports whether it is within the limit.
+func (r *rateLimit) allow(now time.Time, limit int) bool {
+	if now.Sub(r.since) >= sampleInterval {
+		*r = rateLimit{since: now}
 	}
-	b.lines++
-	return b.lines <= most
+	r.lines++
+	return r.lines <= limit
 }
 
-// Sampled logs a line of a kind that there may be many of in ordinary work, unless
-// there have been many such lines in this second. The next line that is logged says
-// how many were left out.
+// Sampled logs a line of a kind that may be frequent in ordinary operation. It omits the line if
+// maxSampled such lines were logged in this second. The next line that is logged has the number of
+// omitted ones.
 func (l *Log) Sampled(now time.Time, message string, fields ...zap.Field) {
 	l.mu.Lock()
-	if !l.sampled.take(now, sampledPerTick) {
-		l.leftOut++
+	if !l.sampled.allow(now, maxSampled) {
+		l.omitted++
 		l.mu.Unlock()
 		return
 	}
-	if l.leftOut > 0 {
-		fields = append(fields, zap.Int64("left_out", l.leftOut))
-		l.leftOut = 0
+	if l.omitted > 0 {
+		fields = append(fields, zap.Int64("left_out", l.omitted))
+		l.omitted = 0
 	}
 	l.mu.Unlock()
 	l.Info(message, fields...)
 }
 
-// Fault warns of something that may go wrong any number of times: the first few of
-// each message in a second. Messages are constants of the code; none takes another's
-// room, and ordinary work takes none of theirs.
+// Fault logs a warning of a fault that may occur very often: at most maxFaults lines with the same
+// message in a second. Each message has a limit of its own, which Sampled does not use up. Messages
+// are constants, so that the number of limits is bounded.
 func (l *Log) Fault(now time.Time, message string, fields ...zap.Field) {
 	l.mu.Lock()
 	if l.faults == nil {
-		l.faults = make(map[string]*budget)
+		l.faults = make(map[string]*rateLimit)
 	}
 	b := l.faults[message]
 	if b == nil {
-		b = &budget{}
+		b = &rateLimit{}
 		l.faults[message] = b
 	}
-	within := b.take(now, faultsPerTick)
+	within := b.allow(now, maxFaults)
 	l.mu.Unlock()
 	if within {
 		l.Warn(message, fields...)
 	}
 }
 
-// Dropped returns the number of lines that were lost because the output did
-// not keep up.
+// Dropped returns the number of lines that were lost because the output was too slow.
 func (l *Log) Dropped() int64 {
 	if l.dropped == nil {
 		return 0
--- a/lib/logging/logging.go
+++ b/lib/logging/logging.go
@@ -1,6 +1,7 @@
-// Package logging makes the structured logger of a process. It owns the buffer of
-// lines that wait to be written and the count of those left out; it never blocks
-// the caller, and relies on the output being read some day.
+// Package logging creates the structured logger of a process. It owns the buffer of lines that wait
+// to be written, the limits on frequent lines and the counts of omitted and dropped ones. A logger
+// of NewAsync never blocks its callers; it relies on the output being read before the buffer is
+// full, and drops lines otherwise.
 package logging
 
 import (
@@ -17,14 +18,14 @@
 	Level zap.AtomicLevel // also an http.Handler: GET and PUT {"level":"debug"}
 
 	dropped *atomic.Int64
-	mu      sync.Mutex // guards what follows
-	sampled budget
-	leftOut int64              // since the last line that was sampled
-	faults  map[string]*budget // by message
+	mu      sync.Mutex // guards the fields below
+	sampled rateLimit
+	omitted int64                 // lines omitted since the last one that Sampled logged
+	faults  map[string]*rateLimit // by message
 }
 
-// New returns a logger to standard error. level is debug, info, warn or error;
-// format is json or text.
+// New returns a logger that writes to standard error, without a buffer. level is debug, info, warn
+// or error; format is json or text.
 func New(level, format string) (*Log, error) {
 	l, err := zap.ParseAtomicLevel(level)
 	if err != nil {
@@ -43,8 +44,8 @@
 	return &Log{Logger: logger, Level: l}, nil
 }
 
-// Flush writes what waits to be written. It is called at the end of a process,
-// when nothing is left that could be told of a failure.
+// Flush writes the lines that are buffered. It is called at the end of a process, where errors cannot
+// be reported any more.
 func (l *Log) Flush() { _ = l.Sync() }
 
 // Discard returns a logger that writes nothing.
--- a/lib/loop/loop_test.go
+++ b/lib/loop/loop_test.go
@@ -20,18 +20,18 @@
 	answer chan<- int
 }
 
-// resumedClock is the clock of a box that has been suspended.
+// resumedClock is the clock of a box that was suspended for a second.
 type resumedClock struct{}
 
 func (resumedClock) Now() time.Time           { return time.Unix(1000, 0) }
 func (resumedClock) Suspended() time.Duration { return time.Second }
 
 var _ = Describe("a control loop", func() {
-	It("tells of a suspension once, before the event that comes after it", func() {
+	It("reports a suspension once, before the next event", func() {
 		l := loop.New[event](10)
-		halt := make(chan struct{})
+		stop := make(chan struct{})
 		var seen []string
-		go l.Run(halt, time.Hour, loop.Steps[event]{
+		go l.Run(stop, time.Hour, loop.Steps[event]{
 			Clock:   resumedClock{},
 			Resumed: func(_ time.Time, suspended time.Duration) { seen = append(seen, suspended.String()) },
 			Handle: func(now time.Time, e event) {
@@ -45,16 +45,16 @@
 		for range 2 {
 			loop.Call(l, func(answer chan<- int) event { return event{answer: answer} })
 		}
-		close(halt)
+		close(stop)
 		<-l.Done()
 		Expect(seen).To(Equal([]string{"1s", "event", "event"}))
 	})
 
-	It("tells that it is late, before what comes after", func() {
+	It("reports a stall before the next event", func() {
 		l := loop.New[event](10)
-		halt := make(chan struct{})
+		stop := make(chan struct{})
 		var seen []string
-		go l.Run(halt, time.Millisecond, loop.Steps[event]{
+		go l.Run(stop, time.Millisecond, loop.Steps[event]{
 			Stalled: func(_ time.Time, by time.Duration) {
 				Expect(by).To(BeNumerically(">=", loop.MinStall))
 				seen = append(seen, "late")
@@ -71,17 +71,17 @@
 		for _, ms := range []int{hold, 0} {
 			loop.Call(l, func(answer chan<- int) event { return event{n: ms, answer: answer} })
 		}
-		close(halt)
+		close(stop)
 		<-l.Done()
 		Expect(seen[:3]).To(Equal([]string{"event", "late", "event"}))
 	})
 
-	It("handles all events in order, ticks, answers, and ends", func() {
+	It("handles all events in order, ticks, answers calls, and ends", func() {
 		l := loop.New[event](10)
-		halt := make(chan struct{})
+		stop := make(chan struct{})
 		var seen []int
 		ticks, performed := 0, 0
-		go l.Run(halt, time.Millisecond, loop.Steps[event]{
+		go l.Run(stop, time.Millisecond, loop.Steps[event]{
 			Handle: func(_ time.Time, e event) {
 				if e.answer != nil {
 					e.answer <- len(seen)
@@ -95,16 +95,16 @@
 		for i := range 100 {
 			l.Post(event{n: i})
 		}
-		question := func(answer chan<- int) event { return event{answer: answer} }
-		n, ok := loop.Call(l, question)
+		request := func(answer chan<- int) event { return event{answer: answer} }
+		n, ok := loop.Call(l, request)
 		Expect(ok).To(BeTrue())
 		Expect(n).To(Equal(100))
-		close(halt)
+		close(stop)
 		<-l.Done()
 		Expect(seen).To(HaveLen(100))
 		Expect(seen[99]).To(Equal(99))
 		Expect(performed).To(BeNumerically(">=", max(1, ticks)))
-		_, ok = loop.Call(l, question)
+		_, ok = loop.Call(l, request)
 		Expect(ok).To(BeFalse())
 		for range 100 {
 			l.Post(event{}) // does not block
--- a/lib/ports/ports.go
+++ b/lib/ports/ports.go
@@ -16,14 +16,14 @@
 // Any is a loopback address for which the operating system chooses the port.
 const Any = "127.0.0.1:0"
 
-// Ranges of the addresses. The octets differ between processes; the ports are ones that the operating
+// Ranges of the addresses. The secondOctetValues differ between processes; the ports are ones that the operating
 // system does not use for outgoing connections, so that nothing takes an address before it is used.
 const (
-	firstPort  = 7100
-	lastPort   = 30000 // below the ports of outgoing connections on Linux
-	hostsIn8   = 250   // number of values in use of an octet, without 0 and 255
-	firstOctet = 10    // first value of the second octet; lower ones may be in use by other programs
-	octets     = 240   // number of values in use of the second octet
+	firstPort         = 7100
+	lastPort          = 30000 // below the ports of outgoing connections on Linux
+	octetValues       = 250   // number of values in use of an octet, without 0 and 255
+	firstOctet        = 10    // first value of the second octet; lower ones may be in use by other programs
+	secondOctetValues = 240   // number of values in use of the second octet
 )
 
 var next atomic.Int64
@@ -50,10 +50,10 @@
 
 // candidate returns the k-th address of this process, or "" after the last one.
 func candidate(k int) string {
-	port := firstPort + k/hostsIn8
+	port := firstPort + k/octetValues
 	if port > lastPort {
 		return ""
 	}
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d:%d", firstOctet+pid/hostsIn8%octets, 1+pid%hostsIn8, 1+k%hostsIn8, port)
+	return fmt.Sprintf("127.%d.%d.%d:%d", firstOctet+pid/octetValues%secondOctetValues, 1+pid%octetValues, 1+k%octetValues, port)
 }
