--- a/lib/peer/conn.go
+++ b/lib/peer/conn.go
@@ -1,7 +1,6 @@
-// Package peer carries wire messages between lichenfall's processes over TCP:
-// connections with a bounded backlog, a listener, and links that reconnect. It
-// owns the sockets and the goroutines that read and write them, and relies on its
-// caller's Handler not to block for long.
+// Package peer carries wire messages between lichenfall's processes over TCP. It has connections with
+// a bounded send queue, a listener, and links that reconnect. It owns the sockets and the goroutines
+// that read and write them, and relies on its caller's Handler not to block for long.
 package peer
 
 import (
@@ -18,33 +17,32 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// ErrClosed is returned by Send after the connection is down.
+// ErrClosed is returned by Send on a closed connection.
 var ErrClosed = errs.New("connection closed")
 
-// ErrBacklog closes a connection whose peer does not keep up.
+// ErrBacklog is the cause with which a connection is closed whose send queue is full.
 var ErrBacklog = errs.New("too many messages wait to be sent")
 
-// Direction says which way a message went.
+// Direction is the direction of a message.
 type Direction uint8
 
-// The two directions.
+// The two directions, as seen from this process.
 const (
 	In Direction = iota
 	Out
 )
 
-// Counter counts what passes over connections.
+// Counter counts messages and faults.
 type Counter interface {
 	// Message is called once for each frame, with its size in bytes.
 	Message(d Direction, m wire.Message, bytes int)
-	// Fault is called when a connection is closed for a reason of the peer's:
-	// the reasons of wire.FaultReason and those of this package.
+	// Fault is called when a connection is closed because of a fault. reason is one of
+	// FaultReasons.
 	Fault(reason string)
 }
 
-// Handler receives what happens on connections. For one connection the calls
-// come in the order Up, Message (any number), Down, one at a time. It must not
-// block for long.
+// Handler receives the events of connections. For each connection the calls are Up, any number of
+// Message, and Down, in this order and one at a time. They must not block for long.
 type Handler interface {
 	Up(c *Conn, h *wire.Hello)
 	Message(c *Conn, m wire.Message)
@@ -53,20 +51,20 @@
 
 // Options are the settings of connections.
 type Options struct {
-	MaxFrame     int           // bytes; zero means wire.DefaultMaxFrame
-	Backlog      int           // messages that may wait to be sent; zero means DefaultBacklog
-	HelloTimeout time.Duration // zero means DefaultHelloTimeout
-	WriteTimeout time.Duration // zero means DefaultWriteTimeout
-	ClockBound   time.Duration // greatest difference to a peer's clock; zero means DefaultClockBound, NoClockBound none
-	ReconnectMax time.Duration // longest pause before a lost peer is dialled again; zero means DefaultReconnectMax
-	// AckLimit is how long a peer that was written to may say nothing, before the
-	// connection is given up; zero sets no limit.
+	MaxFrame     int           // limit on a frame in bytes; 0 means wire.DefaultMaxFrame
+	Backlog      int           // limit on messages in the send queue; 0 means DefaultBacklog
+	HelloTimeout time.Duration // 0 means DefaultHelloTimeout
+	WriteTimeout time.Duration // 0 means DefaultWriteTimeout
+	ClockBound   time.Duration // limit on the difference to a peer's clock; 0 means DefaultClockBound
+	ReconnectMax time.Duration // longest pause before a peer is dialled again; 0 means DefaultReconnectMax
+	// AckLimit is how long a peer that was sent a message may send nothing, before the
+	// connection is closed; 0 sets no limit.
 	AckLimit time.Duration
-	// ReadLimit is how long a peer that has to say something now and then may say
-	// nothing; zero sets no limit.
+	// ReadLimit is how long a peer that has to send messages regularly may send nothing, before
+	// the connection is closed; 0 sets no limit.
 	ReadLimit time.Duration
 	Counter   Counter
-	Advertise string // how peers reach this process, if not as it listens
+	Advertise string // address at which peers reach this process; empty for the one listened on
 }
 
 // The defaults of Options.
@@ -74,11 +72,11 @@
 	DefaultBacklog      = 65536                  // messages
 	DefaultHelloTimeout = 2 * time.Second        // for the peer's first message
 	DefaultWriteTimeout = 5 * time.Second        // for one write
-	DefaultClockBound   = 500 * time.Millisecond // between two boxes that keep time
-	DefaultReconnectMax = 2 * time.Second        // between two dials
+	DefaultClockBound   = 500 * time.Millisecond // for boxes with synchronised clocks
+	DefaultReconnectMax = 2 * time.Second        // between two dial attempts
 )
 
-// NoClockBound is the ClockBound of peers whose clocks are not compared.
+// NoClockBound is the ClockBound with which clocks are not compared.
 const NoClockBound time.Duration = -1
 
 func (o Options) withDefaults() Options {
@@ -103,16 +101,16 @@
 	return o
 }
 
-// Sizes of buffers. Most messages are small, and a process has hundreds of connections: the
-// reader's buffer, which each keeps, is small too. In bytes.
+// Sizes of buffers in bytes. Each connection keeps a read buffer. It is small because most messages
+// are small and a process has hundreds of connections.
 const (
-	bufferBytes = 64 << 10 // of the writer
-	readBytes   = 4 << 10  // of each reader
+	writeBufferBytes = 64 << 10 // written at once
+	readBufferBytes  = 4 << 10  // of a connection's reader
 )
 
-// Conn is one connection to a peer. Send may be called from any goroutine.
+// Conn is one connection to a peer. Send, Close and Flush may be called from any goroutine.
 type Conn struct {
-	// Name is for the handler's own use; it may be set in Up.
+	// Name is not used by this package. A handler may set it in Up.
 	Name string
 
 	opts Options
@@ -122,12 +120,12 @@
 
 	mu      sync.Mutex
 	queue   []wire.Message
-	writing bool // what was taken from the queue last is not yet written
+	writing bool // the messages taken from the queue last are not written yet
 	closed  bool
 	cause   error
 
-	heard   atomic.Int64 // frames that the peer has sent
-	askedAt time.Time    // when the writer last sent a KeepAlive
+	received    atomic.Int64 // number of frames received after the hello
+	keepAliveAt time.Time    // when the writer last added a KeepAlive
 
 	wake chan struct{}
 	done chan struct{}
@@ -137,17 +135,17 @@
 	return &Conn{
 		opts: opts,
 		nc:   nc,
-		r:    bufio.NewReaderSize(nc, readBytes),
+		r:    bufio.NewReaderSize(nc, readBufferBytes),
 		wake: make(chan struct{}, 1),
 		done: make(chan struct{}),
 	}
 }
 
-// Peer returns the peer's hello. It is set from Up on.
+// Peer returns the peer's hello; nil before Up.
 func (c *Conn) Peer() *wire.Hello { return c.peer }
 
-// Send queues m; it never blocks. The message must not be changed afterwards.
-// An error means that m was not and will not be sent.
+// Send queues m and never blocks. m must not be changed afterwards. After an error, m has not been
+// and will not be sent.
 func (c *Conn) Send(m wire.Message) error {
 	c.mu.Lock()
 	if c.closed {
@@ -169,7 +167,7 @@
 	return nil
 }
 
-// Close closes the connection; the first cause given is what Down receives.
+// Close closes the connection. Down receives the cause of the first call.
 func (c *Conn) Close(cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,7 +180,7 @@
 	_ = c.nc.Close()
 }
 
-// Flush waits until all that was sent before has been written, at most for d.
+// Flush waits until all queued messages have been written, or the connection is closed, for at most d.
 func (c *Conn) Flush(d time.Duration) {
 	end := time.Now().Add(d)
 	for time.Now().Before(end) && c.pending() {
@@ -196,14 +194,15 @@
 	return (len(c.queue) > 0 || c.writing) && !c.closed
 }
 
+// serve exchanges hellos and reads messages until the connection is closed. It returns the cause.
 func (c *Conn) serve(hello *wire.Hello, h Handler) error {
-	theirs, err := c.handshake(hello)
+	remote, err := c.handshake(hello)
 	if err != nil {
 		c.Close(err)
 		return err
 	}
-	c.peer = theirs
-	h.Up(c, theirs)
+	c.peer = remote
+	h.Up(c, remote)
 	go c.write()
 	err = c.read(h)
 	c.Close(err)
@@ -221,12 +220,12 @@
 			c.countFault(err)
 			return err
 		}
-		c.heard.Add(1)
+		c.received.Add(1)
 		c.opts.Counter.Message(In, m, n)
 		switch m.WireKind() {
 		case wire.KindHello:
 			c.opts.Counter.Fault(faultSecondHello)
-			return errs.New("a second hello")
+			return errs.New("peer sent a second hello")
 		case wire.KindKeepAlive:
 			if err := c.Send(&wire.KeepAliveAck{}); err != nil {
 				return err
--- a/lib/peer/fault.go
+++ b/lib/peer/fault.go
@@ -8,8 +8,7 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// The reasons of this package for closing a connection, beside those of
-// wire.FaultReason.
+// Reasons of faults beside those of wire.FaultReason.
 const (
 	faultBacklog     = "backlog"
 	faultSecondHello = "second_hello"
@@ -20,7 +19,7 @@
 	faultSilent      = "silent"
 )
 
-// FaultReasons returns every reason that a Counter can be given.
+// FaultReasons returns all reasons with which Counter.Fault may be called.
 func FaultReasons() []string {
 	return []string{
 		faultBacklog, faultSecondHello, faultNoHello, faultVersion, faultClock, faultOwnTooLong, faultSilent,
@@ -28,12 +27,12 @@
 	}
 }
 
-// ErrClock closes a connection to a peer whose clock is too far from ours.
-var ErrClock = errs.New("the clocks differ by more than the bound")
+// ErrClock is the cause with which a connection is closed if the peer's clock differs by more than
+// Options.ClockBound.
+var ErrClock = errs.New("peer clock differs by more than the limit")
 
-// clockOK returns whether the peer's clock at its hello is within the bound of
-// ours now. A hello that was long on the way looks like a wrong clock; the
-// connection is then made again.
+// clockOK reports whether the time in the peer's hello differs from now by at most the bound. A hello
+// that was delayed on its way looks like a wrong clock; the peer then connects again.
 func clockOK(h *wire.Hello, now time.Time, bound time.Duration) bool {
 	return now.Sub(time.UnixMicro(h.UnixMicros)).Abs() <= bound
 }
--- a/lib/peer/flush_test.go
+++ b/lib/peer/flush_test.go
@@ -8,23 +8,23 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-type silentCounter struct{}
+type noCounter struct{}
 
-func (silentCounter) Message(Direction, wire.Message, int) {}
-func (silentCounter) Fault(string)                         {}
+func (noCounter) Message(Direction, wire.Message, int) {}
+func (noCounter) Fault(string)                         {}
 
-// TestFlushWaitsForWhatIsBeingWritten has a peer that does not read: the
-// message has left the queue and is not yet written.
+// TestFlushWaitsForWhatIsBeingWritten checks that Flush waits for a message that has been taken from the
+// queue but is not written yet, since the peer does not read.
 func TestFlushWaitsForWhatIsBeingWritten(t *testing.T) {
-	ours, theirs := net.Pipe()
-	defer theirs.Close()
-	c := newConn(ours, Options{Counter: silentCounter{}}.withDefaults())
+	local, remote := net.Pipe()
+	defer remote.Close()
+	c := newConn(local, Options{Counter: noCounter{}}.withDefaults())
 	defer c.Close(ErrClosed)
 	go c.write()
 	if err := c.Send(&wire.Ping{}); err != nil {
 		t.Fatal(err)
 	}
-	for { // until the writer has taken it
+	for { // until the writer has taken the message
 		c.mu.Lock()
 		left := len(c.queue)
 		c.mu.Unlock()
@@ -40,13 +40,13 @@
 	}()
 	select {
 	case <-flushed:
-		t.Fatal("flushed, and nothing was written")
+		t.Fatal("Flush returned before the message was written")
 	case <-time.After(50 * time.Millisecond):
 	}
 	go func() {
 		buf := make([]byte, 1024)
 		for {
-			if _, err := theirs.Read(buf); err != nil {
+			if _, err := remote.Read(buf); err != nil {
 				return
 			}
 		}
--- a/lib/peer/handshake.go
+++ b/lib/peer/handshake.go
@@ -8,10 +8,10 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// handshake sends our hello and reads theirs. Whoever does not say a proper
-// hello in time is not one of our processes, and is cut off.
-func (c *Conn) handshake(ours *wire.Hello) (*wire.Hello, error) {
-	buf, err := wire.Append(nil, ours)
+// handshake sends the local hello and reads the remote one. A peer that sends no valid hello within
+// Options.HelloTimeout is not a lichenfall process, and the connection is closed.
+func (c *Conn) handshake(local *wire.Hello) (*wire.Hello, error) {
+	buf, err := wire.Append(nil, local)
 	if err != nil {
 		return nil, err
 	}
@@ -21,15 +21,16 @@
 	if err := c.writeAll(buf); err != nil {
 		return nil, err
 	}
-	c.opts.Counter.Message(Out, ours, len(buf))
-	theirs, err := c.readHello()
+	c.opts.Counter.Message(Out, local, len(buf))
+	remote, err := c.readHello()
 	if err != nil {
 		return nil, err
 	}
-	return theirs, c.nc.SetReadDeadline(time.Time{})
+	return remote, c.nc.SetReadDeadline(time.Time{})
 }
 
-// maxHello bounds what a stranger can make us hold, in bytes. Some twenty times a hello.
+// maxHello is the limit on the first frame in bytes: an unknown client cannot make the process
+// allocate more. It is about twenty times the size of a hello.
 const maxHello = 4 << 10
 
 func (c *Conn) readHello() (*wire.Hello, error) {
@@ -45,7 +46,7 @@
 	}
 	if h.Version != wire.Version {
 		c.opts.Counter.Fault(faultVersion)
-		return nil, errs.New("peer speaks version %d, we speak %d", h.Version, wire.Version)
+		return nil, errs.New("peer has protocol version %d, this process has %d", h.Version, wire.Version)
 	}
 	if c.opts.ClockBound != NoClockBound && !clockOK(h, time.Now(), c.opts.ClockBound) {
 		c.opts.Counter.Fault(faultClock)
@@ -55,8 +56,8 @@
 	return h, nil
 }
 
-// NewHello returns the Hello of a process, written now. address is where its
-// peers reach it; empty for one that is known by where it was dialled.
+// NewHello returns the hello of a process with the present time. address is where peers reach the
+// process; it is empty if they know it as the address that they dialled.
 func NewHello(role wire.Role, box, dataCentre, incarnation, address string) *wire.Hello {
 	return &wire.Hello{
 		Version:     wire.Version,
--- a/lib/peer/link.go
+++ b/lib/peer/link.go
@@ -11,32 +11,33 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// reconnect spaces the attempts to reach a peer: soon at first, and with
-// jitter, so that a returning rack is not met by everyone at once.
+// reconnectBase is the first delay between attempts to reach a peer. The delays have jitter, so that
+// processes do not all connect at the same time to a rack that is back.
 const reconnectBase = 50 * time.Millisecond
 
-// A peer that could not be reached so often is probably gone for good, and dialled less often.
+// A peer that could not be reached after many attempts has probably been removed, and is dialled at
+// longer intervals.
 const (
-	goneAfter = 60              // attempts
-	goneDelay = 3 * time.Second // between two later ones
+	slowRedialAfter = 60              // attempts
+	slowRedialDelay = 3 * time.Second // added between later attempts
 )
 
-// Limits of one attempt to dial: short at first, since an attempt that meets a box
-// without power hears nothing, and would outlast the moment in which it is back; then
-// doubled, for peers that are far away or slow. A limit of 1 s for each attempt left
-// half of the connections missing for 1 s after a loss of power.
+// Timeouts of one attempt to dial. The first is short, because an attempt to reach a box without power
+// gets no reply and would continue after the box is back. The following ones double, for peers that
+// are far away or slow. With 1 s for each attempt, half of the connections were missing for 1 s after
+// a loss of power.
 const (
-	firstDialLimit = 150 * time.Millisecond // of the first attempt
-	lastDialLimit  = time.Second
+	firstDialLimit = 150 * time.Millisecond // timeout of the first attempt
+	maxDialLimit   = time.Second
 )
 
-// dialLimit returns the limit of an attempt, counted from 0.
+// dialLimit returns the timeout of an attempt, counted from 0.
 func dialLimit(attempt int) time.Duration {
-	return retry.Backoff{Base: firstDialLimit, Max: lastDialLimit}.Doubled(attempt)
+	return retry.Backoff{Base: firstDialLimit, Max: maxDialLimit}.Doubled(attempt)
 }
 
-// KeepConnected holds a connection to addr until ctx ends, dialling again whenever it
-// breaks. hello is called for each connection.
+// KeepConnected keeps a connection to addr until ctx ends, and dials again whenever it is lost. hello
+// is called for each connection and returns the hello to send.
 func KeepConnected(ctx context.Context, addr string, opts Options, hello func() *wire.Hello, h Handler) {
 	opts = opts.withDefaults()
 	reconnect := retry.Backoff{Base: reconnectBase, Max: opts.ReconnectMax}
@@ -44,14 +45,15 @@
 		if dialOnce(ctx, addr, dialLimit(attempt), opts, hello(), h) {
 			attempt = 0
 		}
-		if attempt > goneAfter {
-			loop.Sleep(ctx, goneDelay)
+		if attempt > slowRedialAfter {
+			loop.Sleep(ctx, slowRedialDelay)
 		}
 		loop.Sleep(ctx, reconnect.Delay(attempt, rand.Float64()))
 	}
 }
 
-// dialOnce returns whether the peer was reached.
+// dialOnce dials once and serves the connection until it is closed. It reports whether the peer was
+// reached: the connection lasted longer than Options.ReconnectMax, or ended without an error.
 func dialOnce(ctx context.Context, addr string, limit time.Duration, opts Options, hello *wire.Hello, h Handler) bool {
 	nc, err := tcp.Dialer(limit).DialContext(ctx, "tcp", addr)
 	if err != nil {
--- a/lib/peer/listener.go
+++ b/lib/peer/listener.go
@@ -24,7 +24,7 @@
 	wg     sync.WaitGroup
 }
 
-// Listen listens on addr (IP number and port). Connections wait until Serve.
+// Listen listens on addr, an IP address and a port. Connections are accepted after Serve is called.
 func Listen(addr string, opts Options) (*Listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -33,7 +33,8 @@
 	return &Listener{ln: ln, opts: opts.withDefaults(), conns: make(map[*Conn]struct{})}, nil
 }
 
-// Serve begins to accept connections, until Close. hello is called for each.
+// Serve starts to accept connections, until Close. hello is called for each connection and returns
+// the hello to send.
 func (l *Listener) Serve(hello func() *wire.Hello, h Handler) {
 	l.hello = hello
 	l.handler = h
@@ -41,11 +42,11 @@
 	go l.accept()
 }
 
-// Addr returns the address listened on.
+// Addr returns the address that the listener listens on.
 func (l *Listener) Addr() string { return l.ln.Addr().String() }
 
-// Advertised returns where peers reach this process: the address of the options,
-// or the one listened on if they name none.
+// Advertised returns the address at which peers reach this process: Options.Advertise, or the address
+// listened on if that is empty.
 func (l *Listener) Advertised() string {
 	if l.opts.Advertise != "" {
 		return l.opts.Advertise
@@ -53,7 +54,7 @@
 	return l.Addr()
 }
 
-// Close stops listening, closes all connections and waits for their handlers.
+// Close stops listening, closes all connections and waits until their handlers have returned from Down.
 func (l *Listener) Close() {
 	_ = l.ln.Close()
 	l.mu.Lock()
@@ -65,8 +66,8 @@
 	l.wg.Wait()
 }
 
-// Flush waits until what was sent on all connections has been written, at most
-// for d.
+// Flush waits until the queued messages of all connections have been written, for at most d on each
+// connection.
 func (l *Listener) Flush(d time.Duration) {
 	l.mu.Lock()
 	conns := make([]*Conn, 0, len(l.conns))
@@ -86,7 +87,7 @@
 		if err != nil {
 			return
 		}
-		// Where the system refuses it, the limits of Options find a silent peer.
+		// An error is ignored: the limits of Options detect a silent peer too.
 		_ = tcp.SetTimeouts(nc)
 		c := newConn(nc, l.opts)
 		if !l.add(c) {
@@ -95,7 +96,7 @@
 		}
 		go func() {
 			defer l.remove(c)
-			// What ended it was counted, and told to the handler.
+			// The error is ignored: it was counted and passed to Handler.Down.
 			_ = c.serve(l.hello(), l.handler)
 		}()
 	}
--- a/lib/peer/peer_test.go
+++ b/lib/peer/peer_test.go
@@ -23,7 +23,7 @@
 
 const long = "30s"
 
-// side records what one side of connections sees; it is Counter and Handler.
+// side records the events and faults at one end of connections. It implements Handler; counter, Counter.
 type side struct {
 	mu     sync.Mutex
 	ups    int
@@ -46,7 +46,7 @@
 func (s *side) down() int                            { _, n, _ := s.count(); return n }
 func (s *side) received() int                        { _, _, n := s.count(); return n }
 
-// counter passes faults on to a side.
+// counter is the Counter of a side.
 type counter struct{ s *side }
 
 func (c counter) Message(peer.Direction, wire.Message, int) {}
@@ -63,7 +63,7 @@
 var _ = Describe("connections between processes", func() {
 	var server, client *side
 	var ctx context.Context
-	// join connects a client whose clock is off by offset.
+	// join connects a client whose clock differs by offset.
 	join := func(offset time.Duration) *peer.Listener {
 		server, client = newSide(), newSide()
 		l, err := peer.Listen(ports.Any, peer.Options{Counter: counter{server}, MaxFrame: 1 << 16})
@@ -81,7 +81,7 @@
 		return l
 	}
 
-	It("carry messages in order, both ways", func() {
+	It("carry messages in order, in both directions", func() {
 		join(0)
 		Eventually(client.up, long).Should(Equal(1))
 		for i := range uint64(50) {
@@ -95,7 +95,7 @@
 		Eventually(client.received, long).Should(Equal(1))
 	})
 
-	It("are made again after they break", func() {
+	It("are made again after they are lost", func() {
 		join(0)
 		Eventually(server.up, long).Should(Equal(1))
 		server.last().Close(peer.ErrClosed)
@@ -105,13 +105,13 @@
 		Eventually(server.received, long).Should(Equal(1))
 	})
 
-	It("are refused when the clocks are too far apart (hazard 10)", func() {
+	It("are refused if the clocks differ too much (hazard 10)", func() {
 		join(10 * time.Second)
 		Eventually(func() int { return server.fault("clock") }, long).Should(BeNumerically(">", 0))
 		Expect(server.up()).To(BeZero())
 	})
 
-	It("are closed for a frame of our own that no peer would take", func() {
+	It("are closed if a message to be sent exceeds the frame limit", func() {
 		join(0)
 		Eventually(client.up, long).Should(Equal(1))
 		c := client.last()
@@ -121,7 +121,7 @@
 		Expect(c.Send(&wire.Ping{})).To(MatchError(peer.ErrClosed))
 	})
 
-	It("are given up when nothing passes any more, and made again", func() {
+	It("are closed when the network drops all packets, and made again", func() {
 		server, client := newSide(), newSide()
 		l, err := peer.Listen(ports.Any, peer.Options{Counter: counter{server}, ReadLimit: time.Second})
 		Expect(err).NotTo(HaveOccurred())
@@ -139,16 +139,16 @@
 		DeferCleanup(func() { cancel(); <-done })
 		Eventually(client.up, long).Should(Equal(1))
 		Expect(client.last().Send(&wire.Ping{})).To(Succeed())
-		Eventually(server.received, long).Should(Equal(1), "and no keep-alive with it")
+		Eventually(server.received, long).Should(Equal(1), "the handler gets no keep-alive")
 		r.silence()
 		Eventually(func() error { return client.last().Send(&wire.Ping{}) }, long).Should(MatchError(peer.ErrClosed))
 		Expect(client.fault("silent")).To(Equal(1))
 		Eventually(client.up, long).Should(Equal(2))
-		Eventually(server.down, long).Should(BeNumerically(">=", 1), "the other end, which has nothing to write, too")
+		Eventually(server.down, long).Should(BeNumerically(">=", 1), "the other end, which writes nothing, closes its connection too")
 		Expect(server.fault("silent")).To(BeNumerically(">=", 1))
 	})
 
-	It("stay while the peer answers, though it has nothing to say", func() {
+	It("stay open while the peer only answers keep-alives", func() {
 		server, client := newSide(), newSide()
 		l, err := peer.Listen(ports.Any, peer.Options{Counter: counter{server}})
 		Expect(err).NotTo(HaveOccurred())
--- a/lib/peer/relay_test.go
+++ b/lib/peer/relay_test.go
@@ -7,15 +7,15 @@
 	. "github.com/onsi/gomega"
 )
 
-// relay passes the bytes of connections on to a target. Those that are open can be made
-// silent for good, without a reset.
+// relay forwards connections to a target. It can make the open connections silent permanently, without
+// a reset, as a network that drops all packets does.
 type relay struct {
 	target string
 	ln     net.Listener
 
 	mu     sync.Mutex
 	conns  []net.Conn
-	silent chan struct{} // closed when those that are open go silent
+	silent chan struct{} // closed when the open connections become silent
 	wg     sync.WaitGroup
 }
 
@@ -52,7 +52,7 @@
 	}
 }
 
-// pass carries bytes one way. The end of a silent connection is not told either.
+// pass forwards bytes in one direction. It does not forward the end of a silent connection either.
 func (r *relay) pass(to, from net.Conn, silent <-chan struct{}) {
 	defer r.wg.Done()
 	buf := make([]byte, 4096)
@@ -73,7 +73,7 @@
 	}
 }
 
-// silence makes all open connections silent; new ones work.
+// silence makes all open connections silent; connections made later work.
 func (r *relay) silence() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lib/peer/silence.go
+++ b/lib/peer/silence.go
@@ -8,32 +8,34 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// ErrSilent closes a connection whose peer says nothing, though it should have.
-var ErrSilent = errs.New("the peer says nothing")
-
-// keepAliveEvery is how often a KeepAlive goes along with what is written, at most. So a
-// connection that has gone silent is noticed by Options.AckLimit after a message that was
-// lost, and as much as this later if one was under way. Two frames of 6 bytes a second and
-// link, 1.9 KB/s for a process among 80 that all keep links to all.
-const keepAliveEvery = time.Second
-
-// withKeepAlive adds a KeepAlive to what is about to be written, if one is due, and has
-// the connection given up unless the peer says something within Options.AckLimit. A
-// connection on which nothing is written needs none.
-func (c *Conn) withKeepAlive(batch []wire.Message) []wire.Message {
+// ErrSilent is the cause with which a connection is closed if the peer sends no message within
+// Options.AckLimit.
+var ErrSilent = errs.New("peer is silent")
+
+// keepAliveInterval is the shortest interval between two KeepAlive messages, which are only sent
+// together with others. A silent connection is closed by Options.AckLimit after the first message
+// that was lost, and by up to this interval later if a KeepAlive was sent shortly before. The cost is
+// two frames of 6 bytes a second and link: 1.9 KB/s for a process among 80 with links to all others.
+const keepAliveInterval = time.Second
+
+// addKeepAlive appends a KeepAlive to the messages that are about to be written, if one is due. The
+// connection is closed if the peer then sends nothing within Options.AckLimit. On a connection on
+// which nothing is written, no KeepAlive is sent.
+func (c *Conn) addKeepAlive(batch []wire.Message) []wire.Message {
 	now := time.Now()
-	if c.opts.AckLimit <= 0 || now.Sub(c.askedAt) < keepAliveEvery {
+	if c.opts.AckLimit <= 0 || now.Sub(c.keepAliveAt) < keepAliveInterval {
 		return batch
 	}
-	c.askedAt = now
-	heard := c.heard.Load()
-	time.AfterFunc(c.opts.AckLimit, func() { c.giveUpSilent(heard) })
+	c.keepAliveAt = now
+	received := c.received.Load()
+	time.AfterFunc(c.opts.AckLimit, func() { c.closeIfSilent(received) })
 	return append(batch, &wire.KeepAlive{})
 }
 
-// giveUpSilent closes the connection if the peer has sent no frame since.
-func (c *Conn) giveUpSilent(heard int64) {
-	if c.heard.Load() != heard {
+// closeIfSilent closes the connection if the peer has sent no frame since the number of received ones
+// was the given one.
+func (c *Conn) closeIfSilent(received int64) {
+	if c.received.Load() != received {
 		return
 	}
 	select {
@@ -45,7 +47,7 @@
 	c.Close(ErrSilent)
 }
 
-// limitRead has the next read fail that waits for longer than Options.ReadLimit.
+// limitRead sets the deadline of the next read by Options.ReadLimit.
 func (c *Conn) limitRead() error {
 	if c.opts.ReadLimit <= 0 {
 		return nil
--- a/lib/peer/write.go
+++ b/lib/peer/write.go
@@ -6,6 +6,7 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
+// write writes queued messages until the connection is closed.
 func (c *Conn) write() {
 	var batch []wire.Message
 	var buf []byte
@@ -16,12 +17,12 @@
 			return
 		}
 		for {
-			batch = c.swap(batch)
+			batch = c.takeQueue(batch)
 			if len(batch) == 0 {
 				break
 			}
 			var err error
-			if buf, err = c.writeBatch(buf[:0], c.withKeepAlive(batch)); err != nil {
+			if buf, err = c.writeBatch(buf[:0], c.addKeepAlive(batch)); err != nil {
 				c.Close(err)
 				return
 			}
@@ -29,9 +30,9 @@
 	}
 }
 
-// swap gives the writer all that waits and leaves it an empty queue. What is
-// being written stays counted as pending until the next swap.
-func (c *Conn) swap(old []wire.Message) []wire.Message {
+// takeQueue returns all queued messages and replaces the queue by old, emptied. The returned messages
+// count as pending until the next call.
+func (c *Conn) takeQueue(old []wire.Message) []wire.Message {
 	clear(old)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,6 +42,8 @@
 	return batch
 }
 
+// writeBatch encodes the messages into buf and writes it whenever it holds writeBufferBytes, and at
+// the end. It returns buf for reuse.
 func (c *Conn) writeBatch(buf []byte, batch []wire.Message) ([]byte, error) {
 	for _, m := range batch {
 		before := len(buf)
@@ -53,7 +56,7 @@
 			return buf, wire.ErrTooLong
 		}
 		c.opts.Counter.Message(Out, m, len(buf)-before)
-		if len(buf) >= bufferBytes {
+		if len(buf) >= writeBufferBytes {
 			if err := c.writeAll(buf); err != nil {
 				return buf, err
 			}
--- a/lib/ports/ports.go
+++ b/lib/ports/ports.go
@@ -16,7 +16,7 @@
 // Any is a loopback address for which the operating system chooses the port.
 const Any = "127.0.0.1:0"
 
-// Ranges of the addresses. The secondOctetValues differ between processes; the ports are ones that the operating
+// Ranges of the addresses. The octets differ between processes; the ports are ones that the operating
 // system does not use for outgoing connections, so that nothing takes an address before it is used.
 const (
 	firstPort         = 7100
