--- a/jobs/scheduler/retryafter.go
+++ b/jobs/scheduler/retryafter.go
@@ -7,22 +7,23 @@
 	"github.com/lichenfall/lichenfall/lib/failure"
 )
 
-// waves is over how many seconds the refused of the first class are told to come back; of each
-// later class over one more. Callers hear of whole seconds.
-const waves = 2
+// retrySpread is the number of seconds over which the retries of refused calls of class 0 are
+// spread; each later class has one more. Callers get retry times in whole seconds.
+const retrySpread = 2
 
-// refuse refuses a call for want of room, and says when to come back: when it would have waited
-// no longer than it may, and then by turns in one second or the next, so that those who were
-// refused together do not come back together, and the urgent ones are first.
+// refuse refuses a call for lack of capacity and tells the caller when to retry: once the expected
+// wait in f is down to the allowed one, plus some seconds that differ from one refused call to
+// the next, so that callers refused together don't retry together. The seconds spread less in
+// urgent classes, so that their callers retry first. f is nil if there is no forecast.
 func (c *Core) refuse(now time.Time, call Call, s *durable.Submission, f *Forecast) {
 	c.noteRefusal(now, s.Queue.Name)
 	class := c.cfg.Load.class(s.Queue.Priority)
-	later := time.Duration(c.returns[class]%(waves+class)) * time.Second
-	c.returns[class]++
+	later := time.Duration(c.refusedCalls[class]%(retrySpread+class)) * time.Second
+	c.refusedCalls[class]++
 	c.effects.Refused = append(c.effects.Refused, class)
 	better := c.cfg.RetryAfter
 	if f != nil {
 		better = max(better, f.Wait()-f.Allowed)
 	}
-	c.failUntil(call, s.ID, failure.Overloaded, better+later)
+	c.failRetryAfter(call, s.ID, failure.Overloaded, better+later)
 }
--- a/jobs/scheduler/waits.go
+++ b/jobs/scheduler/waits.go
@@ -120,8 +120,8 @@
 }
 
 // message returns the group as a capacity request names it. The work is one worker's share.
-func (g *waitingGroup) message(now time.Time) wire.RoomWait {
-	return wire.RoomWait{
+func (g *waitingGroup) message(now time.Time) wire.WaitingGroup {
+	return wire.WaitingGroup{
 		WaitingWork: wire.WaitingWork{
 			Priority: g.priority,
 			FirstMS:  g.from.Sub(now).Milliseconds(),
--- a/wire/jobs.go
+++ b/wire/jobs.go
@@ -7,7 +7,7 @@
 )
 
 //go:generate go tool msgp -io=false -tests=false -file jobs.go -o jobs_gen.go
-//msgp:tuple PartitionEpoch OwnerHeartbeat Evacuations BackendIdentity WorkerStatus RunRef RunOrder RunEnd StartRuns StopRuns RunEnds EndsKept PartitionRuns JobCall JobReply QueueCount QueueCounts HandOver RunsQuery RunNeed RunNeeds TaskCrash CrashReport KeepAlive KeepAliveAck RecordedBackend CapacityRequest RoomWait WaitingWork
+//msgp:tuple PartitionEpoch OwnerHeartbeat Evacuations BackendIdentity WorkerStatus RunRef RunOrder RunEnd StartRuns StopRuns RunEnds EndsKept PartitionRuns JobCall JobReply QueueCount QueueCounts HandOver RunsQuery RunNeed RunNeeds TaskCrash CrashReport KeepAlive KeepAliveAck RecordedBackend CapacityRequest WaitingGroup WaitingWork
 //msgp:limit arrays:65536
 
 // PartitionEpoch states that the sender owns a partition, and its fencing epoch.
@@ -94,16 +94,16 @@
 	// Seen is the Stamp of the newest status that the sender has handled: the sender uses none
 	// of the grants up to it any further.
 	Seen  int64
-	Waits []RoomWait
+	Waits []WaitingGroup
 }
 
 // MaxWaits is how many of the Waits of a CapacityRequest a worker takes into account; it ignores
 // the rest.
 const MaxWaits = 8
 
-// RoomWait is a group of waiting tasks of one priority and of similar size, whose jobs have all
+// WaitingGroup is a group of waiting tasks of one priority and of similar size, whose jobs have all
 // started or have all not. A request may have several of one priority.
-type RoomWait struct {
+type WaitingGroup struct {
 	WaitingWork
 	Need  durable.Resources // of the first task
 	Tasks uint32            // number of tasks
--- a/wire/jobs_gen.go
+++ b/wire/jobs_gen.go
@@ -182,7 +182,7 @@
 	if cap(z.Waits) >= int(zb0002) {
 		z.Waits = (z.Waits)[:zb0002]
 	} else {
-		z.Waits = make([]RoomWait, zb0002)
+		z.Waits = make([]WaitingGroup, zb0002)
 	}
 	for za0001 := range z.Waits {
 		var zb0003 uint32
@@ -1287,62 +1287,6 @@
 	return
 }
 
-// MarshalMsg implements msgp.Marshaler
-func (z *RoomWait) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 3
-	o = append(o, 0x93)
-	o, err = z.WaitingWork.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "WaitingWork")
-		return
-	}
-	o, err = z.Need.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Need")
-		return
-	}
-	o = msgp.AppendUint32(o, z.Tasks)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *RoomWait) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 3 {
-		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
-		return
-	}
-	bts, err = z.WaitingWork.UnmarshalMsg(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "WaitingWork")
-		return
-	}
-	bts, err = z.Need.UnmarshalMsg(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Need")
-		return
-	}
-	z.Tasks, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Tasks")
-		return
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *RoomWait) Msgsize() (s int) {
-	s = 1 + z.WaitingWork.Msgsize() + z.Need.Msgsize() + msgp.Uint32Size
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z *RunEnd) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -2094,6 +2038,62 @@
 	return
 }
 
+// MarshalMsg implements msgp.Marshaler
+func (z *WaitingGroup) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 3
+	o = append(o, 0x93)
+	o, err = z.WaitingWork.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "WaitingWork")
+		return
+	}
+	o, err = z.Need.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Need")
+		return
+	}
+	o = msgp.AppendUint32(o, z.Tasks)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *WaitingGroup) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 3 {
+		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
+		return
+	}
+	bts, err = z.WaitingWork.UnmarshalMsg(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "WaitingWork")
+		return
+	}
+	bts, err = z.Need.UnmarshalMsg(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Need")
+		return
+	}
+	z.Tasks, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Tasks")
+		return
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *WaitingGroup) Msgsize() (s int) {
+	s = 1 + z.WaitingWork.Msgsize() + z.Need.Msgsize() + msgp.Uint32Size
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z *WaitingWork) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
