--- a/config/placement.go
+++ b/config/placement.go
@@ -22,7 +22,7 @@
 	Trickle     float64  `json:"trickle"`
 	PingAfter   Duration `json:"ping_after"`   // silence after which an agent that holds tasks is pinged
 	PingWait    Duration `json:"ping_wait"`    // how long to wait for its reply, before it gets no more tasks
-	SilentShare float64  `json:"silent_share"` // share of silent agents above which the entry assumes a fault of its own
+	SilentShare float64  `json:"silent_share"` // of the agents; above it, the entry assumes a fault of its own
 }
 
 // DefaultPlacement returns the defaults of Placement.
--- a/config/scheduler.go
+++ b/config/scheduler.go
@@ -31,9 +31,9 @@
 	// CallLimit is the time after which a caller gets the answer that the outcome is unknown. It
 	// is less than the 1.3 s after which callers retry.
 	CallLimit   Duration `json:"call_limit"`
-	RetryAfter  Duration `json:"retry_after"`  // minimum of Retry-After for refused callers; the header has whole seconds
+	RetryAfter  Duration `json:"retry_after"`  // minimum of Retry-After, which has whole seconds
 	CommitRetry Duration `json:"commit_retry"` // pause after the store refused a commit
-	KeepFinal   Duration `json:"keep_final"`   // how long the state of ended jobs is kept; the users' platform determines it
+	KeepFinal   Duration `json:"keep_final"`   // storage time of ended jobs; the users' platform determines it
 	// StateWait is how long the answer to a request for a job's state is delayed until the job
 	// ends, so that callers poll less often.
 	StateWait Duration `json:"state_wait"`
--- a/lib/peer/flush_test.go
+++ b/lib/peer/flush_test.go
@@ -13,8 +13,8 @@
 func (noCounter) Message(Direction, wire.Message, int) {}
 func (noCounter) Fault(string)                         {}
 
-// TestFlushWaitsForWhatIsBeingWritten checks that Flush waits for a message that has been taken from the
-// queue but is not written yet, since the peer does not read.
+// TestFlushWaitsForWhatIsBeingWritten checks that Flush waits for a message that has been taken from
+// the queue but is not written yet, since the peer does not read.
 func TestFlushWaitsForWhatIsBeingWritten(t *testing.T) {
 	local, remote := net.Pipe()
 	defer remote.Close()
--- a/lib/peer/link_test.go
+++ b/lib/peer/link_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestDialLimits checks that the first timeout is short, so that a box that was without power is reached
-// soon after it is back, and that later ones suffice for a peer that is far away.
+// TestDialLimits checks that the first timeout is short, so that a box that was without power is
+// reached soon after it is back, and that later ones suffice for a peer that is far away.
 func TestDialLimits(t *testing.T) {
 	want := []time.Duration{150, 300, 600, 1000, 1000}
 	for attempt, ms := range want {
--- a/lib/peer/peer_test.go
+++ b/lib/peer/peer_test.go
@@ -23,7 +23,7 @@
 
 const long = "30s"
 
-// side records the events and faults at one end of connections. It implements Handler; counter, Counter.
+// side records the events and the faults at one end of connections. It implements Handler.
 type side struct {
 	mu     sync.Mutex
 	ups    int
--- a/wire/jobs.go
+++ b/wire/jobs.go
@@ -101,8 +101,8 @@
 // the rest.
 const MaxWaits = 8
 
-// WaitingGroup is a group of waiting tasks of one priority and of similar size, whose jobs have all
-// started or have all not. A request may have several of one priority.
+// WaitingGroup describes waiting tasks of one priority and of similar size, whose jobs have all
+// started or have all not started. A request may have several groups of one priority.
 type WaitingGroup struct {
 	WaitingWork
 	Need  durable.Resources // of the first task
--- a/wire/label.go
+++ b/wire/label.go
@@ -32,8 +32,8 @@
 	return out
 }
 
-// Wasted reports whether messages with the label carry no useful work, which is the first attempt
-// of a task, or an answer.
+// Wasted reports whether messages with the label carry no useful work: neither the first attempt of
+// a task nor an answer.
 func Wasted(label string) bool {
 	switch label {
 	case KindPlace.String(), KindResults.String(), KindFetched.String():
