--- a/lib/peer/conn.go
+++ b/lib/peer/conn.go
@@ -20,7 +20,8 @@
 // ErrClosed is returned by Send on a closed connection.
 var ErrClosed = errs.New("connection closed")
 
-// ErrBacklog is the cause with which a connection is closed whose send queue is full.
+// ErrBacklog is the cause with which a connection is closed if its send queue is full, because the
+// peer reads too slowly.
 var ErrBacklog = errs.New("too many messages wait to be sent")
 
 // Direction is the direction of a message.
--- a/wire/frame.go
+++ b/wire/frame.go
@@ -43,8 +43,8 @@
 const (
 	lengthBytes = 4 // size of the length field
 	kindBytes   = 1 // size of the kind field
-	// firstRead is how many bytes are allocated before any of the body has arrived: the length
-	// field alone may be wrong.
+	// firstRead is the most that is allocated for a body before any of it has arrived, in bytes:
+	// the length field may be wrong.
 	firstRead = 64 << 10
 )
 
