--- a/config/scheduler.go
+++ b/config/scheduler.go
@@ -25,8 +25,8 @@
 	// StoreWrites is the number of writes a second that the store accepts from all processes
 	// together; the users' platform determines it. 0 sets no limit.
 	StoreWrites float64 `json:"store_writes"`
-	// LazyCommit is how long the end of a job may wait for a commit if no caller waits for it,
-	// so that several ends share a commit.
+	// LazyCommit is how long ends of runs may wait for a commit if no caller waits
+	// for them, so that several ends share a commit.
 	LazyCommit Duration `json:"lazy_commit"`
 	// CallLimit is the time after which a caller gets the answer that the outcome is unknown. It
 	// is less than the 1.3 s after which callers retry.
