--- a/jobs/room/load_test.go
+++ b/jobs/room/load_test.go
@@ -45,7 +45,7 @@
 	at        int
 	seen      int64
 	deadlines []int
-	request   *wire.RoomAsk
+	request   *wire.CapacityRequest
 }
 
 // load is a worker and its coordinators.
@@ -89,7 +89,7 @@
 	}
 	if !l.firstCome && l.ms%requestInterval == 0 && len(c.due) > 0 {
 		l.seq++
-		c.messages = append(c.messages, message{at: l.ms + c.latency, seen: c.seen, request: &wire.RoomAsk{Seq: l.seq, Seen: c.seen, Waits: []wire.RoomWait{{
+		c.messages = append(c.messages, message{at: l.ms + c.latency, seen: c.seen, request: &wire.CapacityRequest{Seq: l.seq, Seen: c.seen, Waits: []wire.WaitingGroup{{
 			WaitingWork: wire.WaitingWork{FirstMS: int64(c.due[0] - l.ms), LastMS: int64(c.due[len(c.due)-1] - l.ms)},
 			Need:        cores(1), Tasks: uint32(len(c.due)),
 		}}}})
--- a/jobs/room/room_test.go
+++ b/jobs/room/room_test.go
@@ -42,8 +42,8 @@
 
 // waits returns a row of a request for tasks of n cores each. Their virtual deadlines begin at
 // first, in milliseconds from now, and are gap milliseconds apart.
-func waits(tasks, n int, first, gap int64) wire.RoomWait {
-	return wire.RoomWait{
+func waits(tasks, n int, first, gap int64) wire.WaitingGroup {
+	return wire.WaitingGroup{
 		WaitingWork: wire.WaitingWork{FirstMS: first, LastMS: first + gap*int64(tasks-1), Work: int64(tasks*n) * 100},
 		Need:        cores(int64(n)),
 		Tasks:       uint32(tasks),
@@ -51,9 +51,9 @@
 }
 
 // request sends a request of the owner and returns it.
-func (f *fixture) request(owner string, rows ...wire.RoomWait) *wire.RoomAsk {
+func (f *fixture) request(owner string, rows ...wire.WaitingGroup) *wire.CapacityRequest {
 	f.seq++
-	m := &wire.RoomAsk{Seq: f.seq, Seen: f.seen[owner], Waits: rows}
+	m := &wire.CapacityRequest{Seq: f.seq, Seen: f.seen[owner], Waits: rows}
 	f.table.Request(f.now, owner, m)
 	return m
 }
@@ -434,7 +434,7 @@
 
 	It("with values out of range is bounded", func() {
 		f := newFixture()
-		odd := wire.RoomWait{WaitingWork: wire.WaitingWork{FirstMS: -1 << 62, LastMS: 1 << 62, Work: -5}, Tasks: 1 << 31}
+		odd := wire.WaitingGroup{WaitingWork: wire.WaitingWork{FirstMS: -1 << 62, LastMS: 1 << 62, Work: -5}, Tasks: 1 << 31}
 		negative := odd
 		negative.Need = durable.Resources{CPU: -1000, Memory: 1}
 		f.free.Memory = 1 << 40
--- a/jobs/runtable/runtable_test.go
+++ b/jobs/runtable/runtable_test.go
@@ -635,7 +635,7 @@
 		f := newFixture().ready()
 		f.order(7, ref(0, 1))
 		start := f.take().Starts[0]
-		Expect(f.renewLease([]runtable.ListedRun{{Ref: ref(0, 1)}}).Wait).To(Equal(f.cfg.CalmRenewWait.D()))
+		Expect(f.renewLease([]runtable.ListedRun{{Ref: ref(0, 1)}}).Wait).To(Equal(f.cfg.LongRenewWait.D()))
 		f.table.StartAnswered(f.now, start, runtable.StartUnknown)
 		Expect(f.renewLease(nil).Wait).To(Equal(f.cfg.RenewWait.D()))
 		for range 9 {
@@ -645,13 +645,13 @@
 		}
 		f.advanceRenewing(500 * time.Millisecond)
 		f.heartbeat(7)
-		Expect(f.renewLease(nil).Wait).To(Equal(f.cfg.CalmRenewWait.D()), "all calls have been answered for long enough")
+		Expect(f.renewLease(nil).Wait).To(Equal(f.cfg.LongRenewWait.D()), "all calls have been answered for long enough")
 	})
 
 	It("are followed by another when overdue, and count once as unanswered if they are lost", func() {
 		f := newFixture().ready()
 		first, _ := f.table.NextRenewal(f.now)
-		Expect(first.OverdueAfter).To(Equal(f.cfg.RenewPatience.D()))
+		Expect(first.OverdueAfter).To(Equal(f.cfg.RenewOverdue.D()))
 		f.table.RenewOverdue(first)
 		second, _ := f.table.NextRenewal(f.now)
 		Expect(second.Wait).To(BeZero())
@@ -668,7 +668,7 @@
 		call := f.renewLease(nil)
 		f.table.RenewOverdue(call)
 		next, _ := f.table.NextRenewal(f.now)
-		Expect(next.Wait).To(Equal(f.cfg.CalmRenewWait.D()))
+		Expect(next.Wait).To(Equal(f.cfg.LongRenewWait.D()))
 		Expect(next.Limit).To(Equal(f.cfg.RenewLimit.D()))
 	})
 
@@ -697,7 +697,7 @@
 		f := newFixture().ready()
 		unanswered(f)
 		f.renewLease(nil)
-		Expect(f.renewLease(nil).Wait).To(Equal(f.cfg.CalmRenewWait.D()))
+		Expect(f.renewLease(nil).Wait).To(Equal(f.cfg.LongRenewWait.D()))
 	})
 
 	It("do not wait after an unanswered one, and have more time to be answered", func() {
@@ -735,7 +735,7 @@
 		f.renewLease(nil)
 		r := ref(0, wire.BestEffortRun+1)
 		f.renewLease([]runtable.ListedRun{{Ref: r}})
-		f.advance(f.cfg.FirstLease.D() + time.Millisecond)
+		f.advance(f.cfg.AdoptionTimeout.D() + time.Millisecond)
 		e := f.take()
 		Expect(e.Stops).To(HaveLen(1))
 		_, ok := f.table.NextRenewal(f.now)
--- a/jobs/scheduler/crashhistory.go
+++ b/jobs/scheduler/crashhistory.go
@@ -65,7 +65,7 @@
 }
 
 // RecordCrashes records crashes under best-effort jobs that another coordinator reports.
-func (c *Core) RecordCrashes(now time.Time, m *wire.CrashNews) {
+func (c *Core) RecordCrashes(now time.Time, m *wire.CrashReport) {
 	for _, crash := range m.Crashes {
 		c.recordCrash(now, crash)
 	}
--- a/jobs/worker/overview.go
+++ b/jobs/worker/overview.go
@@ -23,5 +23,5 @@
 
 // Overview returns the state of the worker, for operators; ok is false after Close.
 func (w *Worker) Overview() (o Overview, ok bool) {
-	return loop.Ask(w.loop, func(answer chan<- Overview) event { return overviewRequested{answer} })
+	return loop.Call(w.loop, func(answer chan<- Overview) event { return overviewRequested{answer} })
 }
