--- a/commands/dev.go
+++ b/commands/dev.go
@@ -78,7 +78,7 @@
 		Coordinators: c.Entries,
 		Workers:      c.Agents,
 		HTTP:         c.Jobs,
-		Work:         devTaskTime,
+		TaskTime:     devTaskTime,
 		Log:          log,
 	})
 }
--- a/jobs/fakebackend/backend.go
+++ b/jobs/fakebackend/backend.go
@@ -21,11 +21,11 @@
 type Backend struct {
 	Capacity durable.Resources
 	Service  string
-	Work     time.Duration // how long each run takes
-	// WorkOf, where it is set, is how long a run of the task takes. It and StopGrace are set
+	TaskTime time.Duration // how long each run takes
+	// TaskTimeOf, where it is set, is how long a run of the task takes. It and StopGrace are set
 	// before the first call.
-	WorkOf    func(durable.TaskID) time.Duration
-	StopGrace time.Duration // for how long a run goes on that is told to stop
+	TaskTimeOf func(durable.TaskID) time.Duration
+	StopGrace  time.Duration // for how long a run goes on that is told to stop
 
 	mu       sync.Mutex
 	instance string
@@ -49,12 +49,12 @@
 
 // Run is one run that a Backend carried out.
 type Run struct {
-	Ref    wire.RunRef
-	Began  time.Time
-	Ended  time.Time // zero while it runs
-	How    wire.End  // once it has ended
-	Number uint64    // of its end
-	Noted  time.Time // when the worker was done with its end; zero before, and if the lease lapsed in between
+	Ref       wire.RunRef
+	Began     time.Time
+	Ended     time.Time // zero while it runs
+	How       wire.End  // once it has ended
+	EndNumber uint64    // of its end
+	AckedAt   time.Time // when the worker was done with its end; zero before, and if the lease lapsed in between
 }
 
 // Journal returns all runs of its life, in the order of their starts.
@@ -73,7 +73,7 @@
 	return &Backend{
 		Capacity: capacity,
 		Service:  service,
-		Work:     work,
+		TaskTime: work,
 		instance: uuid.NewString(),
 		born:     time.Now().Add(-time.Second),
 		running:  make(map[wire.RunRef]listedRun),
@@ -111,10 +111,10 @@
 }
 
 func (l *Backend) workOf(t durable.TaskID) time.Duration {
-	if l.WorkOf == nil {
-		return l.Work
+	if l.TaskTimeOf == nil {
+		return l.TaskTime
 	}
-	return l.WorkOf(t)
+	return l.TaskTimeOf(t)
 }
 
 // Starts returns how often each task has been started.
@@ -155,15 +155,15 @@
 // end is acknowledged after the lease has lapsed says nothing.
 func (l *Backend) forgetNumbers() {
 	for i := range l.journal {
-		if e := &l.journal[i]; e.Noted.IsZero() {
-			e.Number = 0
+		if e := &l.journal[i]; e.AckedAt.IsZero() {
+			e.EndNumber = 0
 		}
 	}
 }
 
 func (l *Backend) end(ref wire.RunRef, how wire.End, at time.Time) {
 	entry := &l.journal[l.running[ref].entry]
-	entry.Ended, entry.How, entry.Number = at, how, l.numbers+1
+	entry.Ended, entry.How, entry.EndNumber = at, how, l.numbers+1
 	delete(l.running, ref)
 	l.newest[ref.Task] = max(l.newest[ref.Task], ref.Run)
 	l.numbers++
@@ -246,8 +246,8 @@
 
 func (l *Backend) noted(number uint64) {
 	for i := range l.journal {
-		if e := &l.journal[i]; e.Number == number && number > 0 {
-			e.Noted = time.Now()
+		if e := &l.journal[i]; e.EndNumber == number && number > 0 {
+			e.AckedAt = time.Now()
 		}
 	}
 }
--- a/jobs/fakestore/state.go
+++ b/jobs/fakestore/state.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// Redeal gives every partition to some other member at once, without asking.
-func (s *State) Redeal(now time.Time, shift int) {
+// Reassign gives every partition to some other member at once, without asking.
+func (s *State) Reassign(now time.Time, shift int) {
 	s.expire(now)
 	names := s.names()
 	if len(names) == 0 {
--- a/jobs/local/cluster.go
+++ b/jobs/local/cluster.go
@@ -30,7 +30,7 @@
 	Workers      int
 	DataCentres  []string      // of the workers, by turns; the default if empty
 	HTTP         string        // address of the first coordinator; empty means any port
-	Work         time.Duration // how long each task takes
+	TaskTime     time.Duration // how long each task takes
 	Subset       config.Subset // workers of each coordinator; the defaults if zero
 	Log          *logging.Log
 }
@@ -92,7 +92,7 @@
 }
 
 func (c *Cluster) addWorker(i int) error {
-	b := fakebackend.New(service, durable.Resources{CPU: 8000, Memory: 8192}, c.opts.Work)
+	b := fakebackend.New(service, durable.Resources{CPU: 8000, Memory: 8192}, c.opts.TaskTime)
 	c.Backends = append(c.Backends, b)
 	w, err := c.startWorker(i)
 	c.Workers = append(c.Workers, w)
--- a/jobs/local/cluster_test.go
+++ b/jobs/local/cluster_test.go
@@ -33,7 +33,7 @@
 type jobSystem struct{ *local.Cluster }
 
 func startJobs(work time.Duration) jobSystem {
-	return startSystem(local.Options{Coordinators: 3, Workers: 4, Work: work})
+	return startSystem(local.Options{Coordinators: 3, Workers: 4, TaskTime: work})
 }
 
 func startSystem(o local.Options) jobSystem {
@@ -191,11 +191,11 @@
 })
 
 var _ = Describe("coordinators that each use a few of the workers", func() {
-	few := local.Options{Coordinators: 3, Workers: 6, Work: 300 * time.Millisecond, Subset: config.Subset{Size: 2, Coverage: 1}}
+	few := local.Options{Coordinators: 3, Workers: 6, TaskTime: 300 * time.Millisecond, Subset: config.Subset{Size: 2, Coverage: 1}}
 
 	It("use all workers together", func() {
 		few := few
-		few.Work = 20 * time.Millisecond
+		few.TaskTime = 20 * time.Millisecond
 		s := startSystem(few)
 		for n := range 60 {
 			s.submit(n%3, jobOf(n, n%2 == 0, 8))
--- a/jobs/local/copies_test.go
+++ b/jobs/local/copies_test.go
@@ -18,7 +18,7 @@
 // same time where a copy of a best-effort job comes to the owner of the partition of its ID.
 func TestCopyRunsBesideTheFirstAtTheOwnerOfItsPartition(t *testing.T) {
 	const jobs, work, told = 24, 4 * time.Second, 2 * time.Second
-	c, err := local.Start(local.Options{Coordinators: 3, Workers: 4, Work: work, Log: logging.Discard()})
+	c, err := local.Start(local.Options{Coordinators: 3, Workers: 4, TaskTime: work, Log: logging.Discard()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/jobs/local/evacuation_test.go
+++ b/jobs/local/evacuation_test.go
@@ -38,7 +38,7 @@
 
 var _ = Describe("a data centre that operators evacuate", func() {
 	It("starts nothing until it is taken back, is shown, and with all others has jobs refused at once", func() {
-		s := startSystem(local.Options{Coordinators: 2, Workers: 2, DataCentres: []string{"east", "west"}, Work: 5 * time.Millisecond})
+		s := startSystem(local.Options{Coordinators: 2, Workers: 2, DataCentres: []string{"east", "west"}, TaskTime: 5 * time.Millisecond})
 		s.submit(0, jobOf(1, true, 4))
 		s.submit(1, jobOf(2, true, 4))
 
@@ -74,7 +74,7 @@
 	})
 
 	It("stays so for a worker and a coordinator that begin meanwhile", func() {
-		s := startSystem(local.Options{Coordinators: 1, Workers: 2, DataCentres: []string{"east", "west"}, Work: 5 * time.Millisecond})
+		s := startSystem(local.Options{Coordinators: 1, Workers: 2, DataCentres: []string{"east", "west"}, TaskTime: 5 * time.Millisecond})
 		s.submit(0, jobOf(1, true, 4))
 		s.Store.Evacuate("east")
 		Eventually(func() []string { return s.evacuatedAt(0) }).WithTimeout(patience).Should(HaveLen(1))
--- a/jobs/promises/random_test.go
+++ b/jobs/promises/random_test.go
@@ -146,7 +146,7 @@
 		{"store down", w.downStore},
 		{"store turns away", w.turnAway},
 		{"store loses answers", w.loseSome},
-		{"redeal", func() { w.store.Redeal(w.now, w.random.IntN(coordinatorCount)) }},
+		{"redeal", func() { w.store.Reassign(w.now, w.random.IntN(coordinatorCount)) }},
 		{"crash backend", func() { w.crashBackend(w.random.IntN(workerCount)) }},
 		{"late orders", func() { w.lateOrders(w.random.IntN(workerCount)) }},
 		{"failing backend", func() { w.failBackend(w.random.IntN(workerCount)) }},
@@ -254,7 +254,7 @@
 	name := w.coordinators[w.random.IntN(coordinatorCount)].name
 	w.refused[name] = true
 	if w.chance(0.5) {
-		w.store.Redeal(w.now, w.random.IntN(coordinatorCount))
+		w.store.Reassign(w.now, w.random.IntN(coordinatorCount))
 	}
 	w.after(w.between(500*time.Millisecond, 6*time.Second), func() { delete(w.refused, name) })
 }
--- a/jobs/promises/revoked_test.go
+++ b/jobs/promises/revoked_test.go
@@ -22,7 +22,7 @@
 		w.run(warmUp)
 		old := w.coordinators[seed%coordinatorCount]
 		w.refused[old.name] = true
-		w.store.Redeal(w.now, 1)
+		w.store.Reassign(w.now, 1)
 		for n := range jobsInCase {
 			j := newClientJob(w, n, false)
 			j.poison = false
@@ -80,7 +80,7 @@
 		}
 		w.run(400 * time.Millisecond)
 		w.refused[old.name] = true
-		w.store.Redeal(w.now, 1)
+		w.store.Reassign(w.now, 1)
 		for i := range w.workers {
 			w.restartOutOfReach(i, old, w.between(100*time.Millisecond, time.Second))
 		}
