--- a/commands/agent.go
+++ b/commands/agent.go
@@ -20,11 +20,12 @@
 	})
 }
 
+// agentCommand runs an agent.
 type agentCommand struct {
 	Config string `long:"config" short:"c" required:"true" value-name:"FILE" description:"settings of the agent"`
 }
 
-// Execute runs the command.
+// Execute runs an agent until a stop signal, then waits up to backend.stop_timeout for its tasks.
 func (c *agentCommand) Execute([]string) error {
 	cfg := config.DefaultAgent()
 	if err := config.Load(c.Config, cfg); err != nil {
@@ -39,11 +40,11 @@
 		return err
 	}
 	fmt.Printf("agent ready to be asked: peers %s admin %s\n", a.Addr(), a.AdminAddr())
-	run, cancel := untilSignal()
+	ctx, cancel := signalContext()
 	defer cancel()
-	<-run.Done()
-	stop, cancel := context.WithTimeout(context.Background(), cfg.Backend.StopTimeout.D())
+	<-ctx.Done()
+	stopCtx, cancel := context.WithTimeout(context.Background(), cfg.Backend.StopTimeout.D())
 	defer cancel()
-	a.Stop(stop)
+	a.Stop(stopCtx)
 	return nil
 }
--- a/commands/commands.go
+++ b/commands/commands.go
@@ -1,6 +1,7 @@
-// Package commands holds the commands of the lichenfall program, a file each.
-// Each registers itself with its usage text. It owns the process: signals, exit codes
-// and what is started in which order.
+// Package commands implements the commands of the lichenfall program, a file each, which
+// registers the command with its help texts. The package owns the process: its signals, its
+// exit codes, and the order in which it starts and stops its parts. It relies on go-flags to
+// parse the command line.
 package commands
 
 import (
@@ -15,7 +16,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// The exit codes.
+// Exit codes of the program.
 const (
 	ExitOK       = 0
 	ExitFailed   = 1 // the system answered, with a failure
@@ -23,7 +24,7 @@
 	ExitNoAnswer = 3 // the system could not be reached or gave no answer
 )
 
-// exitError is an error with an exit code.
+// exitError is an error that sets the exit code of the program.
 type exitError struct {
 	code int
 	err  error
@@ -35,20 +36,22 @@
 
 func noAnswerError(err error) error { return &exitError{ExitNoAnswer, err} }
 
-// command is what a file of this package registers.
+// command describes a command of the program.
 type command struct {
-	parent  string // name of the command that it belongs under; may be empty
+	parent  string // name of the command that it is a subcommand of; empty for none
 	name    string
-	summary string
-	usage   string
-	flags   any // a pointer to the struct of its flags, mostly a flags.Commander
+	summary string // one line
+	usage   string // a paragraph
+	flags   any    // pointer to the struct of its options, which also implements flags.Commander unless it has subcommands
 }
 
 var registered []command
 
+// register adds a command to the command line. It is called in init functions.
 func register(c command) { registered = append(registered, c) }
 
-// Run runs the command line and returns the exit code.
+// Run parses the arguments, without the program's name, runs the command that they name, and
+// returns the exit code. It prints errors on standard error.
 func Run(args []string) int {
 	p, err := parser()
 	if err != nil {
@@ -59,7 +62,8 @@
 	return exitCode(err)
 }
 
-// parser builds the command line from what is registered.
+// parser builds the parser of the command line from the registered commands, in the order of
+// their names. Subcommands are added last, once their parents are there.
 func parser() (*flags.Parser, error) {
 	p := flags.NewNamedParser("lichenfall", flags.HelpFlag|flags.PassDoubleDash)
 	p.ShortDescription = "A dispatcher for sub-second tasks."
@@ -69,7 +73,7 @@
 			if (c.parent != "") != nested {
 				continue
 			}
-			if err := add(p, c); err != nil {
+			if err := addCommand(p, c); err != nil {
 				return nil, err
 			}
 		}
@@ -77,28 +81,29 @@
 	return p, nil
 }
 
-func add(p *flags.Parser, c command) error {
-	under := p.Command
+func addCommand(p *flags.Parser, c command) error {
+	parent := p.Command
 	if c.parent != "" {
-		under = p.Find(c.parent)
+		parent = p.Find(c.parent)
 	}
-	_, err := under.AddCommand(c.name, c.summary, c.usage, c.flags)
+	_, err := parent.AddCommand(c.name, c.summary, c.usage, c.flags)
 	return err
 }
 
+// exitCode prints the error, if any, and returns the exit code for it.
 func exitCode(err error) int {
-	var coded *exitError
-	var wrong *flags.Error
+	var exitErr *exitError
+	var flagsErr *flags.Error
 	switch {
 	case err == nil:
 		return ExitOK
-	case errors.As(err, &wrong) && wrong.Type == flags.ErrHelp:
-		fmt.Println(wrong.Message)
+	case errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp:
+		fmt.Println(flagsErr.Message)
 		return ExitOK
-	case errors.As(err, &coded):
+	case errors.As(err, &exitErr):
 		fmt.Fprintln(os.Stderr, "lichenfall:", err)
-		return coded.code
-	case errors.As(err, &wrong):
+		return exitErr.code
+	case errors.As(err, &flagsErr):
 		fmt.Fprintln(os.Stderr, "lichenfall:", err)
 		return ExitUsage
 	}
@@ -106,9 +111,9 @@
 	return ExitFailed
 }
 
-// untilSignal returns a context that ends with the first SIGINT or SIGTERM. A
-// second one ends the process at once.
-func untilSignal() (context.Context, context.CancelFunc) {
+// signalContext returns a context that is cancelled by the first SIGINT or SIGTERM. A
+// second one ends the process at once, with ExitFailed.
+func signalContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
--- a/commands/commands_test.go
+++ b/commands/commands_test.go
@@ -17,25 +17,25 @@
 }
 
 var _ = Describe("the command line", func() {
-	DescribeTable("ends with the documented code", func(want int, args ...string) {
+	DescribeTable("exits with the documented code", func(want int, args ...string) {
 		Expect(commands.Run(args)).To(Equal(want))
 	},
 		Entry("help", commands.ExitOK, "--help"),
-		Entry("help on a command", commands.ExitOK, "submit", "--help"),
-		Entry("the table of errors", commands.ExitOK, "errors"),
-		Entry("a good settings file", commands.ExitOK, "config", "check", "--role", "entry", "../examples/entry.hujson"),
-		Entry("settings of another role", commands.ExitUsage, "config", "check", "--role", "agent", "../examples/entry.hujson"),
-		Entry("a file that is not there", commands.ExitUsage, "entry", "--config", "no-such-file"),
-		Entry("no such command", commands.ExitUsage, "frobnicate"),
-		Entry("no such flag", commands.ExitUsage, "submit", "--frobnicate"),
-		Entry("a payload that is no JSON", commands.ExitUsage, "submit", "--payload", "{"),
-		Entry("a distribution that is not known", commands.ExitUsage, "load", "--fan-out", "zipf:1"),
-		Entry("nobody there", commands.ExitNoAnswer, "submit", "--entry", "http://127.0.0.1:9", "--timeout", "100ms"),
-		Entry("nobody there to ask for a state", commands.ExitNoAnswer, "status", "--entry", "http://127.0.0.1:9"),
-		Entry("no coordinator there to ask", commands.ExitNoAnswer, "status", "--coordinator", "http://127.0.0.1:9"),
+		Entry("help of a command", commands.ExitOK, "submit", "--help"),
+		Entry("table of error kinds", commands.ExitOK, "errors"),
+		Entry("valid settings file", commands.ExitOK, "config", "check", "--role", "entry", "../examples/entry.hujson"),
+		Entry("settings file of another role", commands.ExitUsage, "config", "check", "--role", "agent", "../examples/entry.hujson"),
+		Entry("missing settings file", commands.ExitUsage, "entry", "--config", "no-such-file"),
+		Entry("unknown command", commands.ExitUsage, "frobnicate"),
+		Entry("unknown option", commands.ExitUsage, "submit", "--frobnicate"),
+		Entry("payload that is not JSON", commands.ExitUsage, "submit", "--payload", "{"),
+		Entry("unknown distribution", commands.ExitUsage, "load", "--fan-out", "zipf:1"),
+		Entry("submission to an entry that is not running", commands.ExitNoAnswer, "submit", "--entry", "http://127.0.0.1:9", "--timeout", "100ms"),
+		Entry("state of an entry that is not running", commands.ExitNoAnswer, "status", "--entry", "http://127.0.0.1:9"),
+		Entry("state of a coordinator that is not running", commands.ExitNoAnswer, "status", "--coordinator", "http://127.0.0.1:9"),
 	)
 
-	It("has the pages under docs that it would write", func() {
+	It("generates the pages that are under docs", func() {
 		pages, err := commands.Pages()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(len(pages)).To(BeNumerically(">", 8))
--- a/commands/config.go
+++ b/commands/config.go
@@ -29,14 +29,15 @@
 	})
 }
 
-// configCommand only holds the commands below it.
+// configCommand groups its subcommands.
 type configCommand struct{}
 
+// configExampleCommand prints the default settings of a role.
 type configExampleCommand struct {
 	Role string `long:"role" required:"true" choice:"entry" choice:"agent" choice:"coordinator" choice:"worker" description:"whose settings to print"`
 }
 
-// Execute runs the command.
+// Execute prints the default settings of the role as JSON.
 func (c *configExampleCommand) Execute([]string) error {
 	for _, r := range config.Roles() {
 		if r.Name == c.Role {
@@ -46,6 +47,7 @@
 	return fmt.Errorf("no role %q", c.Role)
 }
 
+// configCheckCommand checks settings files.
 type configCheckCommand struct {
 	Role string `long:"role" required:"true" choice:"entry" choice:"agent" choice:"coordinator" choice:"worker" description:"whose settings they are"`
 	Args struct {
@@ -53,7 +55,7 @@
 	} `positional-args:"yes"`
 }
 
-// Execute runs the command.
+// Execute checks all files and returns an error for the last invalid one.
 func (c *configCheckCommand) Execute([]string) error {
 	var failed error
 	for _, file := range c.Args.Files {
--- a/commands/coordinator.go
+++ b/commands/coordinator.go
@@ -22,22 +22,23 @@
 	})
 }
 
+// coordinatorCommand runs a coordinator.
 type coordinatorCommand struct {
 	jobDaemon
 }
 
-// Execute runs the command.
+// Execute runs a coordinator until a stop signal, then makes a planned stop.
 func (c *coordinatorCommand) Execute([]string) error {
 	cfg := config.DefaultCoordinator()
-	defer c.end()
-	if err := c.begin("coordinator", common{cfg, &cfg.Process, &cfg.Log, &cfg.Store, &cfg.Admin}); err != nil {
+	defer c.close()
+	if err := c.start("coordinator", commonSettings{cfg, &cfg.Process, &cfg.Log, &cfg.Store, &cfg.Admin}); err != nil {
 		return err
 	}
 	k, err := coordinator.Start(cfg, c.store, c.metrics, c.log)
 	if err != nil {
 		return err
 	}
-	c.state.from(func() any {
+	c.state.setSource(func() any {
 		if o, ok := k.Overview(); ok {
 			return o
 		}
@@ -52,24 +53,26 @@
 	if err != nil {
 		return err
 	}
-	c.signals.untilStop(func() { reloadLevel(&c.settingsFlag, config.DefaultCoordinator(), c.log) })
+	c.signals.waitForStop(func() { reloadLevel(&c.settingsFlag, config.DefaultCoordinator(), c.log) })
 	c.stop(k, jobs, cfg.Process.Grace.D())
 	return nil
 }
 
-// The part of the grace for which callers are served after a stop signal. The balancer takes
-// up to 2 s to see that we are not ready.
+// How the grace period of a planned stop is divided: drainParts of graceParts to serve callers
+// while the load balancer notices that the coordinator is not ready, which takes it up to 2 s;
+// one part for the requests in flight after that.
 const (
-	drainPart  = 3 // fifths of it
-	drainWhole = 5 // the others are for requests in flight
+	drainParts = 3
+	graceParts = 5
 )
 
-// stop makes a planned stop within the grace. The balancer needs to see that we
-// are not ready; until then, and on open connections, callers are still served.
+// stop makes a planned stop within the grace period. Callers are served until the load
+// balancer has had the time to notice that the coordinator is not ready, and those with
+// requests in flight until these are answered.
 func (c *coordinatorCommand) stop(k *coordinator.Coordinator, jobs *web.Server, grace time.Duration) {
 	k.Drain()
-	time.Sleep(grace * drainPart / drainWhole)
-	ctx, cancel := context.WithTimeout(context.Background(), grace/drainWhole)
+	time.Sleep(grace * drainParts / graceParts)
+	ctx, cancel := context.WithTimeout(context.Background(), grace/graceParts)
 	defer cancel()
 	if err := jobs.Drain(ctx); err != nil {
 		c.log.Warn("stopped_with_calls", zap.Error(err))
--- a/commands/daemon.go
+++ b/commands/daemon.go
@@ -17,14 +17,15 @@
 	"github.com/lichenfall/lichenfall/metrics"
 )
 
-// settingsVariable names the settings file where no --config is given.
+// settingsVariable is the environment variable that names the settings file if --config is absent.
 const settingsVariable = "LICHENFALL_SETTINGS"
 
-// settingsFlag is shared by the daemons that the platform starts.
+// settingsFlag is the option --config of the daemons that the platform starts.
 type settingsFlag struct {
 	Config string `long:"config" short:"c" value-name:"FILE" description:"settings file; without it, the file that LICHENFALL_SETTINGS names"`
 }
 
+// load reads the settings file into s, which holds the defaults.
 func (f *settingsFlag) load(s config.Settings) error {
 	file := f.Config
 	if file == "" {
@@ -36,31 +37,34 @@
 	return nil
 }
 
-// memoryShare is the share of the box's memory that the heap may take before
-// the garbage collector works harder.
-const memoryShare = 0.6
+// heapShare is the share of process.memory_mib that the Go runtime uses before it collects
+// garbage more often.
+const heapShare = 0.6
 
+// limitMemory sets the memory limit of the Go runtime, if the settings have a limit for the box.
 func limitMemory(p config.Process) {
 	if p.MemoryMiB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(p.MemoryMiB<<20)))
+		debug.SetMemoryLimit(int64(heapShare * float64(p.MemoryMiB<<20)))
 	}
 }
 
-// operate serves the operators' endpoints of a daemon, and what it says of itself.
-func operate(listen string, reg *metrics.Registry, log *logging.Log, o *overview) (*web.Server, error) {
+// serveAdmin serves the operators' endpoints of a daemon: metrics, log level and /v1/state.
+func serveAdmin(listen string, reg *metrics.Registry, log *logging.Log, o *stateHandler) (*web.Server, error) {
 	e := web.NewEcho()
 	web.Operate(e, reg.Handler, log.Level)
 	e.GET("/v1/state", o.serve)
 	return web.Listen(listen, e, web.DefaultLimits())
 }
 
-// overview is what a daemon says of itself to operators, once it has begun.
-type overview struct{ source atomic.Pointer[func() any] }
+// stateHandler serves the state of a daemon to operators. Without a source it answers 503.
+type stateHandler struct{ source atomic.Pointer[func() any] }
 
-// from sets the source of the overview; nil is what it gives after the daemon's end.
-func (o *overview) from(source func() any) { o.source.Store(&source) }
+// setSource sets the function that returns the state; it returns nil once the daemon has ended.
+func (o *stateHandler) setSource(source func() any) { o.source.Store(&source) }
 
-func (o *overview) serve(c echo.Context) error {
+// serve answers with the state as JSON, or with 503 before the daemon has started and after it
+// has ended.
+func (o *stateHandler) serve(c echo.Context) error {
 	source := o.source.Load()
 	if source == nil {
 		return c.String(http.StatusServiceUnavailable, "it has only begun, or has no state to show\n")
@@ -72,12 +76,13 @@
 	return c.JSON(http.StatusOK, state)
 }
 
-// signals is what the platform tells a daemon.
+// signals are the signals that the platform sends to a daemon.
 type signals struct {
-	stop   chan os.Signal
-	reload chan os.Signal
+	stop   chan os.Signal // SIGINT and SIGTERM
+	reload chan os.Signal // SIGHUP
 }
 
+// watchSignals starts to receive the signals, so that none ends the process by default.
 func watchSignals() signals {
 	s := signals{make(chan os.Signal, 2), make(chan os.Signal, 1)}
 	signal.Notify(s.stop, os.Interrupt, syscall.SIGTERM)
@@ -85,8 +90,8 @@
 	return s
 }
 
-// untilStop waits for the stop signal, and reloads at each reload signal.
-func (s signals) untilStop(reload func()) {
+// waitForStop waits for the stop signal, and calls reload at each reload signal.
+func (s signals) waitForStop(reload func()) {
 	for {
 		select {
 		case <-s.reload:
@@ -97,9 +102,10 @@
 	}
 }
 
-// reloadLevel reads the settings again, into fresh, which holds the defaults; only
-// the log's level can change while the daemon runs. The settings in use are read
-// by other goroutines, and stay.
+// reloadLevel reads the settings file again, into fresh, which holds the defaults, and
+// applies its log level, the only setting that can change while the daemon runs. The
+// settings in use are not changed, since other goroutines read them. If the file is
+// invalid, it logs that and changes nothing.
 func reloadLevel(f *settingsFlag, fresh config.Settings, log *logging.Log) {
 	if err := f.load(fresh); err != nil {
 		log.Warn("reload_failed", zap.Error(err))
@@ -112,7 +118,7 @@
 	log.Info("reloaded", zap.String("level", level))
 }
 
-// serveOn serves a handler with the usual limits.
+// serveOn serves a handler with the default limits, but for the number of connections.
 func serveOn(listen string, h http.Handler, conns int) (*web.Server, error) {
 	limits := web.DefaultLimits()
 	limits.Conns = conns
--- a/commands/dev.go
+++ b/commands/dev.go
@@ -21,6 +21,7 @@
 	})
 }
 
+// devCommand runs a whole system in one process.
 type devCommand struct {
 	Listen  string `long:"listen" default:"127.0.0.1:7070" value-name:"ADDR" description:"of the first entry"`
 	Entries int    `long:"entries" default:"2" description:"number of entries"`
@@ -30,11 +31,11 @@
 }
 
 const (
-	devTaskTime  = 50 * time.Millisecond // of a task that names none; the shortest of the users'
-	devStopLimit = time.Minute           // for jobs in flight at the end
+	devTaskTime  = 50 * time.Millisecond // of a task whose payload names none; the shortest that the users have
+	devStopLimit = time.Minute           // for jobs in flight after a stop signal
 )
 
-// Execute runs the command.
+// Execute runs the system until a stop signal.
 func (c *devCommand) Execute([]string) error {
 	if c.Entries < 1 || c.Agents < 1 {
 		return usageError(fmt.Errorf("--entries and --agents must be at least 1"))
@@ -43,9 +44,9 @@
 	if err != nil {
 		return usageError(err)
 	}
-	run, cancel := untilSignal()
+	ctx, cancel := signalContext()
 	defer cancel()
-	cluster, err := c.startEntries(run, log)
+	cluster, err := c.startEntries(ctx, log)
 	if err != nil {
 		return err
 	}
@@ -54,17 +55,17 @@
 		return err
 	}
 	defer jobs.Close()
-	c.greet(cluster)
-	c.greetJobs(jobs)
-	<-run.Done()
-	stop, cancel := context.WithTimeout(context.Background(), devStopLimit)
+	c.printEntries(cluster)
+	c.printCoordinators(jobs)
+	<-ctx.Done()
+	stopCtx, cancel := context.WithTimeout(context.Background(), devStopLimit)
 	defer cancel()
-	cluster.Stop(stop)
+	cluster.Stop(stopCtx)
 	return nil
 }
 
-func (c *devCommand) startEntries(run context.Context, log *logging.Log) (*local.Cluster, error) {
-	return local.Start(run, local.Options{
+func (c *devCommand) startEntries(ctx context.Context, log *logging.Log) (*local.Cluster, error) {
+	return local.Start(ctx, local.Options{
 		Entries: c.Entries,
 		Agents:  c.Agents,
 		HTTP:    c.Listen,
@@ -83,7 +84,7 @@
 	})
 }
 
-func (c *devCommand) greet(cluster *local.Cluster) {
+func (c *devCommand) printEntries(cluster *local.Cluster) {
 	urls := cluster.URLs()
 	fmt.Printf("lichenfall is up: %d entries, %d agents, a stand-in box list at %s\n", c.Entries, c.Agents, cluster.BoxList.URL())
 	for _, u := range urls {
@@ -102,7 +103,7 @@
 `, urls[0], local.Workspace, local.Pool)
 }
 
-func (c *devCommand) greetJobs(jobs *joblocal.Cluster) {
+func (c *devCommand) printCoordinators(jobs *joblocal.Cluster) {
 	fmt.Printf(`
 Beside them %d coordinators and %d workers, on a stand-in store:
 
--- a/commands/entry.go
+++ b/commands/entry.go
@@ -19,11 +19,12 @@
 	})
 }
 
+// entryCommand runs an entry.
 type entryCommand struct {
 	Config string `long:"config" short:"c" required:"true" value-name:"FILE" description:"settings of the entry"`
 }
 
-// Execute runs the command.
+// Execute runs an entry until a stop signal, then waits up to jobs.stop_timeout for its jobs.
 func (c *entryCommand) Execute([]string) error {
 	cfg := config.DefaultEntry()
 	if err := config.Load(c.Config, cfg); err != nil {
@@ -38,11 +39,11 @@
 		return err
 	}
 	fmt.Printf("entry ready to be asked: http %s peers %s\n", e.Addr(), e.PeerAddr())
-	run, cancel := untilSignal()
+	ctx, cancel := signalContext()
 	defer cancel()
-	<-run.Done()
-	stop, cancel := context.WithTimeout(context.Background(), cfg.Jobs.StopTimeout.D())
+	<-ctx.Done()
+	stopCtx, cancel := context.WithTimeout(context.Background(), cfg.Jobs.StopTimeout.D())
 	defer cancel()
-	e.Stop(stop)
+	e.Stop(stopCtx)
 	return nil
 }
--- a/commands/errors.go
+++ b/commands/errors.go
@@ -17,9 +17,10 @@
 	})
 }
 
+// errorsCommand prints the table of error kinds.
 type errorsCommand struct{}
 
-// Execute runs the command.
+// Execute prints the table.
 func (c *errorsCommand) Execute([]string) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "KIND\tSTATUS\tRAN\tRETRY\tMEANING")
--- a/commands/fakebackend.go
+++ b/commands/fakebackend.go
@@ -18,6 +18,7 @@
 	})
 }
 
+// fakeBackendCommand runs a stand-in for a backend server.
 type fakeBackendCommand struct {
 	Listen   string        `long:"listen" default:"127.0.0.1:9000" value-name:"ADDR" description:"IP number and port"`
 	TaskTime time.Duration `long:"task-time" default:"50ms" description:"time of a task whose payload names none"`
@@ -25,7 +26,7 @@
 	Seed     uint64        `long:"seed" default:"1" description:"of the random choices"`
 }
 
-// Execute runs the command.
+// Execute runs the stand-in until a stop signal.
 func (c *fakeBackendCommand) Execute([]string) error {
 	b, err := fakebackend.New(fakebackend.Settings{Listen: c.Listen, TaskTime: c.TaskTime, Tail: c.Tail}, c.Seed)
 	if err != nil {
@@ -33,8 +34,8 @@
 	}
 	defer b.Close()
 	fmt.Println("stand-in backend server at", b.URL())
-	run, cancel := untilSignal()
+	ctx, cancel := signalContext()
 	defer cancel()
-	<-run.Done()
+	<-ctx.Done()
 	return nil
 }
--- a/commands/fakeboxlist.go
+++ b/commands/fakeboxlist.go
@@ -16,11 +16,12 @@
 	})
 }
 
+// fakeBoxListCommand runs a stand-in for the platform's box list.
 type fakeBoxListCommand struct {
 	Listen string `long:"listen" default:"127.0.0.1:9100" value-name:"ADDR" description:"IP number and port"`
 }
 
-// Execute runs the command.
+// Execute runs the stand-in until a stop signal.
 func (c *fakeBoxListCommand) Execute([]string) error {
 	p, err := fakeboxlist.New(c.Listen)
 	if err != nil {
@@ -28,8 +29,8 @@
 	}
 	defer p.Close()
 	fmt.Println("stand-in platform at", p.URL())
-	run, cancel := untilSignal()
+	ctx, cancel := signalContext()
 	defer cancel()
-	<-run.Done()
+	<-ctx.Done()
 	return nil
 }
--- a/commands/faults_test.go
+++ b/commands/faults_test.go
@@ -15,19 +15,20 @@
 	"github.com/lichenfall/lichenfall/metrics"
 )
 
-// TestFaultsAreHeard reports faults of the adapter while many ordinary lines are
-// logged, at a level that hides those: each fault is heard all the same, and one
-// that comes in any number is bounded and hides no other.
-func TestFaultsAreHeard(t *testing.T) {
+// TestFaultsAreLogged reports faults of the platform's adapter among many sampled log lines
+// below the log's level. It guards against faults that the sampling of those lines, or of
+// another fault, suppresses: each kind of fault is logged, and the lines of a frequent one
+// are limited.
+func TestFaultsAreLogged(t *testing.T) {
 	core, lines := observer.New(zapcore.WarnLevel)
 	log := &logging.Log{Logger: zap.New(core)}
 	d := &jobDaemon{log: log, metrics: metrics.NewJobs(tally.NoopScope, nil, scheduler.Classes)}
 	const many = 10_000
 	for range many {
 		log.Sampled(time.Now(), "run_ordered")
-		d.report("backend_row_skipped", errors.New("malformed"))
+		d.reportFault("backend_row_skipped", errors.New("malformed"))
 	}
-	d.report("store_unread", errors.New("refused"))
+	d.reportFault("store_unread", errors.New("refused"))
 	if n := lines.FilterMessage("store_unread").Len(); n != 1 {
 		t.Errorf("%d lines of the store, 1 wanted", n)
 	}
--- a/commands/jobdaemon.go
+++ b/commands/jobdaemon.go
@@ -14,20 +14,21 @@
 	"github.com/lichenfall/lichenfall/platform"
 )
 
-// jobDaemon is what coordinators and workers start alike.
+// jobDaemon holds what the daemons of coordinators and workers have in common. It owns the
+// admin server and the metrics; close ends both.
 type jobDaemon struct {
 	settingsFlag
-	signals signals
-	log     *logging.Log
-	metrics *metrics.Jobs
-	store   *platform.Store
-	admin   *web.Server
-	reg     *metrics.Registry
-	state   overview
+	signals  signals
+	log      *logging.Log
+	metrics  *metrics.Jobs
+	store    *platform.Store
+	admin    *web.Server
+	registry *metrics.Registry
+	state    stateHandler
 }
 
-// common are the sections that the settings of both roles have.
-type common struct {
+// commonSettings are the settings of a daemon and those of their sections that both roles have.
+type commonSettings struct {
 	settings config.Settings
 	process  *config.Process
 	log      *config.Log
@@ -35,9 +36,9 @@
 	admin    *config.Admin
 }
 
-// begin reads the settings and starts what does not depend on the role. end is to
-// be called after it, whatever it returns.
-func (d *jobDaemon) begin(role string, c common) error {
+// start reads the settings and starts the log, the metrics, the store's client and the admin
+// server. close must be called after it, even if it returns an error.
+func (d *jobDaemon) start(role string, c commonSettings) error {
 	d.signals = watchSignals()
 	if err := d.load(c.settings); err != nil {
 		return err
@@ -47,25 +48,26 @@
 	if d.log, err = logging.NewAsync(os.Stdout, c.log.Level); err != nil {
 		return usageError(err)
 	}
-	d.reg = metrics.New(role)
-	d.metrics = metrics.NewJobs(d.reg.Scope, platform.StoreCallKinds(), scheduler.Classes)
-	d.store = platform.NewStore(c.store.Address, d.report).Metered(d.metrics)
-	d.admin, err = operate(c.admin.Listen, d.reg, d.log, &d.state)
+	d.registry = metrics.New(role)
+	d.metrics = metrics.NewJobs(d.registry.Scope, platform.StoreCallKinds(), scheduler.Classes)
+	d.store = platform.NewStore(c.store.Address, d.reportFault).Metered(d.metrics)
+	d.admin, err = serveAdmin(c.admin.Listen, d.registry, d.log, &d.state)
 	return err
 }
 
-func (d *jobDaemon) end() {
+// close ends what start has started.
+func (d *jobDaemon) close() {
 	if d.admin != nil {
 		d.admin.Close()
 	}
-	if d.reg != nil {
-		d.reg.Close()
+	if d.registry != nil {
+		d.registry.Close()
 	}
 }
 
-// report counts and logs what the adapter could not read or reach. It is a
-// platform.FaultFunc.
-func (d *jobDaemon) report(what string, err error) {
+// reportFault counts and logs a fault of the platform's adapter: something that it could not
+// read or reach. It is a platform.FaultFunc.
+func (d *jobDaemon) reportFault(what string, err error) {
 	d.metrics.Decision(what)
 	d.log.Fault(time.Now(), what, zap.Error(err))
 }
--- a/commands/load.go
+++ b/commands/load.go
@@ -26,6 +26,7 @@
 	})
 }
 
+// loadCommand submits jobs at a given rate.
 type loadCommand struct {
 	Entry      []string      `long:"entry" value-name:"URL" description:"entry to submit to; may be given several times"`
 	Scrape     []string      `long:"scrape" value-name:"URL" description:"process whose message counters to read; may be given several times"`
@@ -54,19 +55,19 @@
 	Slack      int           `long:"slack" default:"0" description:"placement.slack of the local system"`
 }
 
-// maxFanOut bounds the tasks of a job: the most that the users send.
+// maxFanOut bounds the tasks of a job; it is the largest number that the users send.
 const maxFanOut = 150
 
-// Execute runs the command.
+// Execute runs the plan, as often as requested, and prints a report.
 func (c *loadCommand) Execute([]string) error {
 	plan, err := c.plan()
 	if err != nil {
 		return usageError(err)
 	}
-	run, cancel := untilSignal()
+	ctx, cancel := signalContext()
 	defer cancel()
 	if len(c.Entry) == 0 {
-		cluster, err := c.startLocal(run)
+		cluster, err := c.startLocal(ctx)
 		if err != nil {
 			return err
 		}
@@ -77,20 +78,21 @@
 	var runs []load.Summary
 	for i := range c.Repeats {
 		plan.Seed = c.Seed + uint64(i)
-		runs = append(runs, c.once(run, plan))
+		runs = append(runs, c.runPlan(ctx, plan))
 	}
 	return c.print(runs)
 }
 
-// once runs the plan and adds the messages sent meanwhile to its summary.
-func (c *loadCommand) once(ctx context.Context, plan load.Plan) load.Summary {
-	before := c.messages(ctx)
+// runPlan runs the plan once. The summary includes the messages sent meanwhile, by kind and as a
+// mean for each task.
+func (c *loadCommand) runPlan(ctx context.Context, plan load.Plan) load.Summary {
+	before := c.sentMessages(ctx)
 	s := load.Run(ctx, plan, c.progress()).Summary()
 	if !c.Quiet {
 		fmt.Fprintln(os.Stderr)
 	}
 	s.Messages = make(map[string]float64)
-	for k, n := range c.messages(ctx) {
+	for k, n := range c.sentMessages(ctx) {
 		s.Messages[k] = (n - before[k]) / float64(max(1, s.Tasks))
 		if wire.Wasted(k) {
 			s.WastedMessages += s.Messages[k]
@@ -99,6 +101,7 @@
 	return s
 }
 
+// plan turns the options into a plan.
 func (c *loadCommand) plan() (load.Plan, error) {
 	fanOut, taskTime, err := distributions(c.FanOut, c.TaskTime)
 	if err != nil {
@@ -125,7 +128,7 @@
 	}, nil
 }
 
-// distributions reads the flags of what jobs are made of.
+// distributions parses the distributions of a job's number of tasks and of their time.
 func distributions(fanOut, taskTime string) (f, t load.Distribution, err error) {
 	if f, err = load.ParseDistribution(fanOut); err != nil {
 		return f, t, fmt.Errorf("--fan-out: %w", err)
@@ -136,6 +139,7 @@
 	return f, t, nil
 }
 
+// startLocal starts a local system with the settings that the options give.
 func (c *loadCommand) startLocal(ctx context.Context) (*local.Cluster, error) {
 	return local.Start(ctx, local.Options{
 		Entries: c.Entries,
@@ -155,6 +159,7 @@
 	})
 }
 
+// progress returns a function that prints the progress on standard error, or nil with --quiet.
 func (c *loadCommand) progress() func(*load.Report) {
 	if c.Quiet {
 		return nil
@@ -165,29 +170,32 @@
 	}
 }
 
-// counterLag is how old a scraped counter may be.
-const counterLag = 1500 * time.Millisecond
+// counterDelay is the wait before counters are scraped, since their values lag behind by up to
+// this long.
+const counterDelay = 1500 * time.Millisecond
 
-// messages sums up the messages that all scraped processes have sent.
-func (c *loadCommand) messages(ctx context.Context) map[string]float64 {
-	sum := make(map[string]float64)
+// sentMessages returns how many messages of each kind all scraped processes have sent in total. It
+// leaves out processes that don't answer, with a message on standard error.
+func (c *loadCommand) sentMessages(ctx context.Context) map[string]float64 {
+	total := make(map[string]float64)
 	if len(c.Scrape) == 0 {
-		return sum
+		return total
 	}
-	time.Sleep(counterLag)
+	time.Sleep(counterDelay)
 	for _, u := range c.Scrape {
-		sent, err := metrics.MessagesSent(ctx, u)
+		counts, err := metrics.MessagesSent(ctx, u)
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "lichenfall: %s: %v\n", u, err)
 			continue
 		}
-		for k, n := range sent {
-			sum[k] += n
+		for k, n := range counts {
+			total[k] += n
 		}
 	}
-	return sum
+	return total
 }
 
+// print prints the summary of one run, or the spread of several.
 func (c *loadCommand) print(runs []load.Summary) error {
 	switch {
 	case c.JSON && len(runs) == 1:
--- a/commands/pages.go
+++ b/commands/pages.go
@@ -22,6 +22,7 @@
 	})
 }
 
+// pagesCommand writes the generated documentation pages.
 type pagesCommand struct {
 	Args struct {
 		Dir string `positional-arg-name:"DIR" required:"1"`
@@ -29,11 +30,11 @@
 }
 
 const (
-	dirMode  = 0o755 // of folders that are made
-	fileMode = 0o644 // of pages
+	dirMode  = 0o755 // of created folders
+	fileMode = 0o644 // of written pages
 )
 
-// Execute runs the command.
+// Execute writes the pages below DIR.
 func (c *pagesCommand) Execute([]string) error {
 	pages, err := Pages()
 	if err != nil {
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// Pages returns the text of each page by its file name below docs.
+// Pages returns the text of each generated page by its file name relative to docs.
 func Pages() (map[string][]byte, error) {
 	p, err := parser()
 	if err != nil {
@@ -62,8 +63,9 @@
 	return pages, nil
 }
 
-func addPages(pages map[string][]byte, under *flags.Command, prefix string) {
-	for _, c := range under.Commands() {
+// addPages adds a page for each command below parent that has no subcommands.
+func addPages(pages map[string][]byte, parent *flags.Command, prefix string) {
+	for _, c := range parent.Commands() {
 		name := prefix + " " + c.Name
 		if len(c.Commands()) > 0 {
 			addPages(pages, c, name)
@@ -74,7 +76,7 @@
 	}
 }
 
-// commandPage sets a command out like a man page.
+// commandPage returns the page of a command, with the sections of a man page.
 func commandPage(name string, c *flags.Command) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "# %s\n\n## Name\n\n%s - %s\n\n", name, name, c.ShortDescription)
@@ -121,6 +123,8 @@
 	return ""
 }
 
+// errorsPage returns the page of error kinds, by HTTP status. It leaves out the first kind of the
+// table, which stands for none.
 func errorsPage() []byte {
 	var b bytes.Buffer
 	b.WriteString("# Error kinds\n\nMade from `failure.Table` by `make docs`. \"Ran\" is what the kind says by itself; the answer to a\n" +
--- a/commands/reload_test.go
+++ b/commands/reload_test.go
@@ -9,8 +9,8 @@
 	"github.com/lichenfall/lichenfall/lib/logging"
 )
 
-// TestReloadLevel reads a changed settings file again: the level of the log
-// follows it, and a file that cannot be used changes nothing.
+// TestReloadLevel reloads a changed settings file: the log takes its level, and an invalid
+// file changes nothing.
 func TestReloadLevel(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "worker.hujson")
 	write := func(text string) {
--- a/commands/status.go
+++ b/commands/status.go
@@ -24,6 +24,7 @@
 	})
 }
 
+// statusCommand prints the state of a submission, an entry or a coordinator.
 type statusCommand struct {
 	Coordinator string `long:"coordinator" value-name:"URL" description:"show a coordinator of jobs instead, at its admin address"`
 	Entry       string `long:"entry" default:"http://127.0.0.1:7070" value-name:"URL" description:"which entry to ask"`
@@ -33,10 +34,10 @@
 	} `positional-args:"yes"`
 }
 
-// statusTimeout is for one question.
+// statusTimeout bounds the one request that the command makes.
 const statusTimeout = 5 * time.Second
 
-// Execute runs the command.
+// Execute requests the state and prints it.
 func (c *statusCommand) Execute([]string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
@@ -74,7 +75,7 @@
 	}
 }
 
-// showCoordinator prints what a coordinator says of itself.
+// showCoordinator requests the overview of a coordinator and prints it.
 func (c *statusCommand) showCoordinator(ctx context.Context) error {
 	cl := client.New(c.Coordinator)
 	defer cl.Close()
@@ -107,7 +108,7 @@
 	}
 }
 
-// percent shows a figure in percent, of which 0 says that it is not known.
+// percent formats a percentage, of which 0 means unknown.
 func percent(x uint32) string {
 	if x == 0 {
 		return "-"
--- a/commands/submit.go
+++ b/commands/submit.go
@@ -22,6 +22,7 @@
 	})
 }
 
+// submitCommand submits a job.
 type submitCommand struct {
 	Entry         string        `long:"entry" default:"http://127.0.0.1:7070" value-name:"URL" description:"where to submit"`
 	ID            string        `long:"id" description:"submission ID: a UUIDv7 or NAME@UNIX-MILLISECONDS; a new one when absent"`
@@ -34,16 +35,16 @@
 	NotRepeatable bool          `long:"not-repeatable" description:"must run at most once whatever happens"`
 }
 
-// slack is how long after the deadline an answer is still waited for.
-const slack = 5 * time.Second
+// answerGrace is how long after its deadline the command still waits for the job's answer.
+const answerGrace = 5 * time.Second
 
-// Execute runs the command.
+// Execute submits the job and prints its answer.
 func (c *submitCommand) Execute([]string) error {
 	r, err := c.request()
 	if err != nil {
 		return usageError(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout+slack)
+	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout+answerGrace)
 	defer cancel()
 	cl := client.New(c.Entry)
 	defer cl.Close()
@@ -54,6 +55,7 @@
 	return printAnswer(a)
 }
 
+// request builds the request from the options, or reads it from the file.
 func (c *submitCommand) request() (*job.Request, error) {
 	if c.File != "" {
 		return readRequest(c.File)
@@ -86,7 +88,7 @@
 	return os.ReadFile(file)
 }
 
-// printAnswer prints an answer and turns it into an exit code.
+// printAnswer prints an answer, and returns an error with ExitFailed if it has one.
 func printAnswer(a *job.Answer) error {
 	if err := printJSON(a); err != nil {
 		return err
--- a/commands/version.go
+++ b/commands/version.go
@@ -5,7 +5,7 @@
 	"runtime"
 )
 
-// version is set by the linker; see the Makefile.
+// version is set at link time; see the Makefile.
 var version = "unversioned"
 
 func init() {
@@ -17,9 +17,10 @@
 	})
 }
 
+// versionCommand prints the version.
 type versionCommand struct{}
 
-// Execute runs the command.
+// Execute prints the versions of the program and of Go.
 func (c *versionCommand) Execute([]string) error {
 	fmt.Println("lichenfall", version, runtime.Version())
 	return nil
--- a/commands/worker.go
+++ b/commands/worker.go
@@ -16,37 +16,38 @@
 	})
 }
 
+// workerCommand runs a worker.
 type workerCommand struct {
 	jobDaemon
 }
 
-// workerConns is how many connections the backend server may have to us. It needs one.
+// workerConns is how many connections the backend server may open to the worker; it needs one.
 const workerConns = 16
 
-// Execute runs the command.
+// Execute runs a worker until a stop signal, then ends it; its runs continue under their lease.
 func (c *workerCommand) Execute([]string) error {
 	cfg := config.DefaultWorker()
-	defer c.end()
-	if err := c.begin("worker", common{cfg, &cfg.Process, &cfg.Log, &cfg.Store, &cfg.Admin}); err != nil {
+	defer c.close()
+	if err := c.start("worker", commonSettings{cfg, &cfg.Process, &cfg.Log, &cfg.Store, &cfg.Admin}); err != nil {
 		return err
 	}
-	backend := platform.NewExecutor(cfg.Backend.Address, c.report)
+	backend := platform.NewExecutor(cfg.Backend.Address, c.reportFault)
 	w, err := worker.Start(cfg, backend, c.store, c.metrics, c.log)
 	if err != nil {
 		return err
 	}
-	c.state.from(func() any {
+	c.state.setSource(func() any {
 		if o, ok := w.Overview(); ok {
 			return o
 		}
 		return nil
 	})
-	control, err := serveOn(cfg.Backend.Listen, platform.ControlHandler(w, c.report), workerConns)
+	control, err := serveOn(cfg.Backend.Listen, platform.ControlHandler(w, c.reportFault), workerConns)
 	if err != nil {
 		return err
 	}
 	defer control.Close()
-	c.signals.untilStop(func() { reloadLevel(&c.settingsFlag, config.DefaultWorker(), c.log) })
+	c.signals.waitForStop(func() { reloadLevel(&c.settingsFlag, config.DefaultWorker(), c.log) })
 	w.Close()
 	return nil
 }
--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -11,8 +11,8 @@
 	"github.com/lichenfall/lichenfall/lib/golden"
 )
 
-// TestDeployFiles holds the files by which the users' platform builds, starts
-// and sets up the programs, byte for byte.
+// TestDeployFiles compares the files from which the users' platform builds, configures and
+// starts the programs with their recorded checksums, so that none changes unnoticed.
 func TestDeployFiles(t *testing.T) {
 	var out strings.Builder
 	for _, file := range []string{"deploy/system.toml", "platform/coordinator.hujson", "platform/worker.hujson"} {
--- a/jobs/fakebackend/backend.go
+++ b/jobs/fakebackend/backend.go
@@ -1,6 +1,7 @@
 // Package fakebackend is a stand-in for a backend server that runs tasks under a
-// lease. It owns a journal of all that it ran, from which tests tell whether a task
-// ran twice, and keeps its own clock.
+// lease. It owns the runs, the lease and a journal of all runs, which tests check for
+// tasks that ran twice. Its clock counts from its creation. It relies on package
+// runtable for the requests and answers of the protocol.
 package fakebackend
 
 import (
@@ -16,35 +17,37 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// Backend is a stand-in for a backend server that runs tasks under a lease, in
-// the worker's process. It is a worker.Backend.
+// Backend is a stand-in for a backend server that runs tasks under a lease. It runs in
+// the worker's process and implements worker.Backend. All methods may be called
+// concurrently.
 type Backend struct {
 	Capacity durable.Resources
 	Service  string
 	TaskTime time.Duration // how long each run takes
-	// TaskTimeOf, where it is set, is how long a run of the task takes. It and StopGrace are set
-	// before the first call.
+	// TaskTimeOf, if not nil, returns how long a run of the task takes, in place of TaskTime. It
+	// and StopGrace must be set before the first call of a method.
 	TaskTimeOf func(durable.TaskID) time.Duration
-	StopGrace  time.Duration // for how long a run goes on that is told to stop
+	StopGrace  time.Duration // how long a run continues after a request to stop it
 
-	mu       sync.Mutex
-	instance string
-	reports  uint64 // heartbeats so far
-	born     time.Time
-	token    uint64
-	deadline time.Duration // of the lease, on its own clock
-	running  map[wire.RunRef]listedRun
-	newest   map[durable.TaskID]uint32
-	ended    []runtable.ListedEnd
-	numbers  uint64
-	starts   map[durable.TaskID]int
-	journal  []Run
+	mu            sync.Mutex
+	instance      string
+	reportNumber  uint64        // of the newest report; the first has 1
+	born          time.Time     // when its clock showed 0
+	token         uint64        // the highest fencing token received
+	deadline      time.Duration // when the lease expires, on its own clock
+	running       map[wire.RunRef]activeRun
+	newestRun     map[durable.TaskID]uint32 // the highest run number that has ended or was stopped
+	unacked       []runtable.ListedEnd      // ends that no renewal has acknowledged
+	lastEndNumber uint64
+	starts        map[durable.TaskID]int
+	journal       []Run
 }
 
-type listedRun struct {
-	ends  time.Time
-	how   wire.End // it ends then
-	entry int      // in the journal
+// activeRun is a run that has not ended.
+type activeRun struct {
+	endsAt       time.Time // unless the lease expires first
+	endKind      wire.End  // how it ends at endsAt
+	journalIndex int
 }
 
 // Run is one run that a Backend carried out.
@@ -52,224 +55,234 @@
 	Ref       wire.RunRef
 	Began     time.Time
 	Ended     time.Time // zero while it runs
-	How       wire.End  // once it has ended
-	EndNumber uint64    // of its end
-	AckedAt   time.Time // when the worker was done with its end; zero before, and if the lease lapsed in between
+	How       wire.End  // how it ended; zero while it runs
+	EndNumber uint64    // 0 while it runs, and once the lease has expired before the end was acknowledged
+	AckedAt   time.Time // when the worker acknowledged its end; zero before, and if the lease expired in between
 }
 
-// Journal returns all runs of its life, in the order of their starts.
-func (l *Backend) Journal() []Run {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.settle()
-	return slices.Clone(l.journal)
+// Journal returns all runs that were ever started, in the order of their starts.
+func (b *Backend) Journal() []Run {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.advance()
+	return slices.Clone(b.journal)
 }
 
-// holdStep is how often a hold that waits looks for ends.
-const holdStep = 2 * time.Millisecond
+// renewPollInterval is the pause between two checks for new ends while a renewal waits.
+const renewPollInterval = 2 * time.Millisecond
 
-// New returns an idle backend server.
+// New returns an idle backend server whose runs take the time given.
 func New(service string, capacity durable.Resources, work time.Duration) *Backend {
 	return &Backend{
-		Capacity: capacity,
-		Service:  service,
-		TaskTime: work,
-		instance: uuid.NewString(),
-		born:     time.Now().Add(-time.Second),
-		running:  make(map[wire.RunRef]listedRun),
-		newest:   make(map[durable.TaskID]uint32),
-		starts:   make(map[durable.TaskID]int),
+		Capacity:  capacity,
+		Service:   service,
+		TaskTime:  work,
+		instance:  uuid.NewString(),
+		born:      time.Now().Add(-time.Second),
+		running:   make(map[wire.RunRef]activeRun),
+		newestRun: make(map[durable.TaskID]uint32),
+		starts:    make(map[durable.TaskID]int),
 	}
 }
 
-// Instance returns the name of its life.
-func (l *Backend) Instance() string { return l.instance }
+// Instance returns its instance ID.
+func (b *Backend) Instance() string { return b.instance }
 
-// Report returns what its next heartbeat says.
-func (l *Backend) Report() runtable.Report {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.reports++
+// Report returns the content of its next heartbeat.
+func (b *Backend) Report() runtable.Report {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.reportNumber++
 	return runtable.Report{
-		Number:   l.reports,
-		Identity: runtable.Identity{Instance: l.instance, Service: l.Service, Ready: true, Capacity: l.Capacity},
+		Number:   b.reportNumber,
+		Identity: runtable.Identity{Instance: b.instance, Service: b.Service, Ready: true, Capacity: b.Capacity},
 	}
 }
 
-// Resize changes its capacity, of which its next heartbeat tells.
-func (l *Backend) Resize(capacity durable.Resources) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.Capacity = capacity
+// Resize changes its capacity, which the next heartbeat reports.
+func (b *Backend) Resize(capacity durable.Resources) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.Capacity = capacity
 }
 
-// percent returns how far the run has come.
-func (l *Backend) percent(ref wire.RunRef) int {
-	work := l.workOf(ref.Task)
-	left := time.Until(l.running[ref].ends)
+// percent returns the progress of an active run.
+func (b *Backend) percent(ref wire.RunRef) int {
+	work := b.taskTime(ref.Task)
+	left := time.Until(b.running[ref].endsAt)
 	return int(100 * (work - left) / work)
 }
 
-func (l *Backend) workOf(t durable.TaskID) time.Duration {
-	if l.TaskTimeOf == nil {
-		return l.TaskTime
+func (b *Backend) taskTime(t durable.TaskID) time.Duration {
+	if b.TaskTimeOf == nil {
+		return b.TaskTime
 	}
-	return l.TaskTimeOf(t)
+	return b.TaskTimeOf(t)
 }
 
-// Starts returns how often each task has been started.
-func (l *Backend) Starts() map[durable.TaskID]int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	out := make(map[durable.TaskID]int, len(l.starts))
-	for t, n := range l.starts {
+// Starts returns how many runs of each task have been started.
+func (b *Backend) Starts() map[durable.TaskID]int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	out := make(map[durable.TaskID]int, len(b.starts))
+	for t, n := range b.starts {
 		out[t] = n
 	}
 	return out
 }
 
 // Identify implements worker.Backend.
-func (l *Backend) Identify(context.Context) (life runtable.Incarnation, ok bool) {
-	return runtable.Incarnation{Instance: l.instance}, true
+func (b *Backend) Identify(context.Context) (incarnation runtable.Incarnation, ok bool) {
+	return runtable.Incarnation{Instance: b.instance}, true
 }
 
-func (l *Backend) clock() time.Duration { return time.Since(l.born) }
+// clock returns the time since its creation, in which lease deadlines are given.
+func (b *Backend) clock() time.Duration { return time.Since(b.born) }
 
-// settle ends what has ended by now.
-func (l *Backend) settle() {
-	over := l.born.Add(l.deadline) // the lease
-	for ref, r := range l.running {
+// advance ends the runs that were due to end by now, and all others if the lease has expired.
+// The caller holds mu, as for all unexported methods below.
+func (b *Backend) advance() {
+	expiry := b.born.Add(b.deadline)
+	for ref, r := range b.running {
 		switch {
-		case !time.Now().Before(r.ends) && !over.Before(r.ends):
-			l.end(ref, r.how, r.ends)
-		case time.Now().After(over):
-			l.end(ref, wire.EndLapsed, over)
+		case !time.Now().Before(r.endsAt) && !expiry.Before(r.endsAt):
+			b.end(ref, r.endKind, r.endsAt)
+		case time.Now().After(expiry):
+			b.end(ref, wire.EndLapsed, expiry)
 		}
 	}
-	if time.Now().After(over) {
-		l.forgetNumbers()
+	if time.Now().After(expiry) {
+		b.clearUnackedNumbers()
 	}
 }
 
-// forgetNumbers takes what has ended so far out of what can be noted: that an
-// end is acknowledged after the lease has lapsed says nothing.
-func (l *Backend) forgetNumbers() {
-	for i := range l.journal {
-		if e := &l.journal[i]; e.AckedAt.IsZero() {
+// clearUnackedNumbers clears the end numbers of all unacknowledged journal entries, so that
+// markAcked no longer finds them: an acknowledgement that arrives after the lease has expired
+// doesn't count.
+func (b *Backend) clearUnackedNumbers() {
+	for i := range b.journal {
+		if e := &b.journal[i]; e.AckedAt.IsZero() {
 			e.EndNumber = 0
 		}
 	}
 }
 
-func (l *Backend) end(ref wire.RunRef, how wire.End, at time.Time) {
-	entry := &l.journal[l.running[ref].entry]
-	entry.Ended, entry.How, entry.EndNumber = at, how, l.numbers+1
-	delete(l.running, ref)
-	l.newest[ref.Task] = max(l.newest[ref.Task], ref.Run)
-	l.numbers++
-	l.ended = append(l.ended, runtable.ListedEnd{Number: l.numbers, Task: ref.Task.String(), Ref: ref, Valid: true, How: how})
+// end moves a run from the active runs to the unacknowledged ends.
+func (b *Backend) end(ref wire.RunRef, how wire.End, at time.Time) {
+	entry := &b.journal[b.running[ref].journalIndex]
+	entry.Ended, entry.How, entry.EndNumber = at, how, b.lastEndNumber+1
+	delete(b.running, ref)
+	b.newestRun[ref.Task] = max(b.newestRun[ref.Task], ref.Run)
+	b.lastEndNumber++
+	b.unacked = append(b.unacked, runtable.ListedEnd{Number: b.lastEndNumber, Task: ref.Task.String(), Ref: ref, Valid: true, How: how})
 }
 
-// Start implements worker.Backend. It takes whatever its worker thinks fits.
-func (l *Backend) Start(_ context.Context, c runtable.StartCall) runtable.StartResult {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.settle()
+// Start implements worker.Backend. It doesn't check the run against its capacity.
+func (b *Backend) Start(_ context.Context, c runtable.StartCall) runtable.StartResult {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.advance()
 	switch {
-	case c.Instance != l.instance:
+	case c.Instance != b.instance:
 		return runtable.StartWrongIncarnation
-	case c.Token < l.token:
+	case c.Token < b.token:
 		return runtable.StartFenced
-	case l.holds(c.Ref):
+	case b.isRunning(c.Ref):
 		return runtable.StartAccepted
-	case c.Ref.Run <= l.newest[c.Ref.Task]:
+	case c.Ref.Run <= b.newestRun[c.Ref.Task]:
 		return runtable.StartRunNumberUsed
-	case c.Deadline <= l.clock():
+	case c.Deadline <= b.clock():
 		return runtable.StartLeaseExpired
 	}
-	l.token = c.Token
-	l.extend(c.Deadline)
+	b.token = c.Token
+	b.extend(c.Deadline)
 	now := time.Now()
-	l.running[c.Ref] = listedRun{ends: now.Add(l.workOf(c.Ref.Task)), how: wire.EndDone, entry: len(l.journal)}
-	l.journal = append(l.journal, Run{Ref: c.Ref, Began: now})
-	l.starts[c.Ref.Task]++
+	b.running[c.Ref] = activeRun{endsAt: now.Add(b.taskTime(c.Ref.Task)), endKind: wire.EndDone, journalIndex: len(b.journal)}
+	b.journal = append(b.journal, Run{Ref: c.Ref, Began: now})
+	b.starts[c.Ref.Task]++
 	return runtable.StartAccepted
 }
 
-// mostLease is the longest lease that is granted; a longer one is cut to it.
-const mostLease = time.Second
+// maxLease is the longest lease that it grants; a longer one is shortened to it.
+const maxLease = time.Second
 
-func (l *Backend) extend(deadline time.Duration) {
-	l.deadline = max(l.deadline, min(deadline, l.clock()+mostLease))
+// extend moves the deadline of the lease to the one given, at most maxLease from now. It never
+// shortens the lease.
+func (b *Backend) extend(deadline time.Duration) {
+	b.deadline = max(b.deadline, min(deadline, b.clock()+maxLease))
 }
 
-func (l *Backend) holds(ref wire.RunRef) bool {
-	_, ok := l.running[ref]
+func (b *Backend) isRunning(ref wire.RunRef) bool {
+	_, ok := b.running[ref]
 	return ok
 }
 
 // Stop implements worker.Backend.
-func (l *Backend) Stop(_ context.Context, c runtable.StopCall) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.settle()
-	if r, ok := l.running[c.Ref]; ok {
-		l.stop(c.Ref, r)
+func (b *Backend) Stop(_ context.Context, c runtable.StopCall) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.advance()
+	if r, ok := b.running[c.Ref]; ok {
+		b.stop(c.Ref, r)
 	}
-	l.newest[c.Ref.Task] = max(l.newest[c.Ref.Task], c.Ref.Run)
+	b.newestRun[c.Ref.Task] = max(b.newestRun[c.Ref.Task], c.Ref.Run)
 	return true
 }
 
-// stop ends a run once its grace is over.
-func (l *Backend) stop(ref wire.RunRef, r listedRun) {
+// stop ends a run after StopGrace, or at its usual end if that comes first.
+func (b *Backend) stop(ref wire.RunRef, r activeRun) {
 	now := time.Now()
-	switch over := now.Add(l.StopGrace); {
-	case l.StopGrace == 0:
-		l.end(ref, wire.EndStopped, now)
-	case over.Before(r.ends):
-		r.ends, r.how = over, wire.EndStopped
-		l.running[ref] = r
+	switch graceEnd := now.Add(b.StopGrace); {
+	case b.StopGrace == 0:
+		b.end(ref, wire.EndStopped, now)
+	case graceEnd.Before(r.endsAt):
+		r.endsAt, r.endKind = graceEnd, wire.EndStopped
+		b.running[ref] = r
 	}
 }
 
-// Hold implements worker.Backend.
-func (l *Backend) Renew(ctx context.Context, c runtable.RenewCall) runtable.RenewAnswer {
+// Renew implements worker.Backend. It answers once there is an unacknowledged end or the
+// requested wait is over, and at once if the token is fenced.
+func (b *Backend) Renew(ctx context.Context, c runtable.RenewCall) runtable.RenewAnswer {
 	until := time.Now().Add(c.Wait)
 	for {
-		a, news := l.look(c)
-		if news || ctx.Err() != nil || !time.Now().Before(until) {
+		a, immediate := b.applyRenewal(c)
+		if immediate || ctx.Err() != nil || !time.Now().Before(until) {
 			return a
 		}
-		time.Sleep(holdStep)
+		time.Sleep(renewPollInterval)
 	}
 }
 
-func (l *Backend) noted(number uint64) {
-	for i := range l.journal {
-		if e := &l.journal[i]; e.EndNumber == number && number > 0 {
+// markAcked records in the journal that the worker acknowledged the end of that number.
+func (b *Backend) markAcked(number uint64) {
+	for i := range b.journal {
+		if e := &b.journal[i]; e.EndNumber == number && number > 0 {
 			e.AckedAt = time.Now()
 		}
 	}
 }
 
-// look returns the lists, and whether there is an end that was not seen.
-func (l *Backend) look(c runtable.RenewCall) (a runtable.RenewAnswer, news bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.settle()
-	if c.Token < l.token {
-		return runtable.RenewAnswer{Result: runtable.RenewFenced, Clock: l.clock()}, true
+// applyRenewal extends the lease and removes the ends that the request acknowledges. It returns
+// the runs and the remaining ends, and whether the answer must not wait: there are such ends, or
+// the token is fenced.
+func (b *Backend) applyRenewal(c runtable.RenewCall) (a runtable.RenewAnswer, immediate bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.advance()
+	if c.Token < b.token {
+		return runtable.RenewAnswer{Result: runtable.RenewFenced, Clock: b.clock()}, true
 	}
-	l.token = c.Token
-	l.extend(c.Deadline)
-	for len(l.ended) > 0 && l.ended[0].Number <= c.LastSeen {
-		l.noted(l.ended[0].Number)
-		l.ended = l.ended[1:]
+	b.token = c.Token
+	b.extend(c.Deadline)
+	for len(b.unacked) > 0 && b.unacked[0].Number <= c.LastSeen {
+		b.markAcked(b.unacked[0].Number)
+		b.unacked = b.unacked[1:]
 	}
-	a = runtable.RenewAnswer{Result: runtable.RenewOK, Clock: l.clock()}
-	for ref := range l.running {
-		a.Running = append(a.Running, runtable.ListedRun{Ref: ref, Percent: l.percent(ref)})
+	a = runtable.RenewAnswer{Result: runtable.RenewOK, Clock: b.clock()}
+	for ref := range b.running {
+		a.Running = append(a.Running, runtable.ListedRun{Ref: ref, Percent: b.percent(ref)})
 	}
-	a.Ended = append(a.Ended, l.ended...)
+	a.Ended = append(a.Ended, b.unacked...)
 	return a, len(a.Ended) > 0
 }
--- a/jobs/fakestore/store.go
+++ b/jobs/fakestore/store.go
@@ -11,56 +11,59 @@
 	"github.com/lichenfall/lichenfall/jobs/store"
 )
 
-// Store is a store.Store for processes on real clocks.
+// Store implements store.Store in memory, on the clock of package time, for coordinators and
+// workers in the same process. It is safe for concurrent use.
 type Store struct {
 	mu            sync.Mutex
 	state         *State
 	configuration *routing.Configuration
 	evacuations   routing.Evacuations
-	changed       chan struct{} // closed and replaced at each change
-	refusing      bool
-	hidden        bool // the registered processes cannot be read
+	changed       chan struct{} // closed and replaced by notify
+	refusing      bool          // set by Refuse
+	membersHidden bool          // set by HideMembers
 }
 
 var _ store.Store = (*Store)(nil)
 
-// New returns an empty store of so many partitions.
+// New returns an empty store with the number of partitions given.
 func New(partitions uint32) *Store {
 	return &Store{state: NewState(partitions), changed: make(chan struct{})}
 }
 
-// Refuse makes the store turn away all calls, or take them again.
+// Refuse makes the store refuse all calls with store.ErrRefused, or accept them again. While it
+// refuses, WatchOperators calls nothing; WatchMembers continues.
 func (s *Store) Refuse(refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refusing = refuse
 }
 
-// HideMembers makes the registered processes unreadable, or readable again.
+// HideMembers stops the updates of WatchMembers, or resumes them with one of all processes.
 func (s *Store) HideMembers(hide bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hidden = hide
-	s.change()
+	s.membersHidden = hide
+	s.notify()
 }
 
-// Configure puts a configuration in force.
+// Configure replaces the configuration that WatchOperators passes on.
 func (s *Store) Configure(c *routing.Configuration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.configuration = c
-	s.change()
+	s.notify()
 }
 
-// Evacuate sets the data centres in which nothing may be started.
+// Evacuate replaces the list of evacuated data centres; without any, the evacuation ends.
 func (s *Store) Evacuate(dataCentres ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.evacuations = routing.Evacuations{Offset: s.evacuations.Offset + 1, DataCentres: slices.Sorted(slices.Values(dataCentres))}
-	s.change()
+	s.notify()
 }
 
-func (s *Store) change() {
+// notify wakes all watches. The caller holds mu.
+func (s *Store) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -125,21 +128,21 @@
 		return store.ErrRefused
 	}
 	s.state.Register(m)
-	s.change()
+	s.notify()
 	return nil
 }
 
-// Registered returns how many processes are registered.
+// Registered returns the number of registered processes.
 func (s *Store) Registered() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.state.registered)
 }
 
-// WatchMembers implements store.Store.
+// WatchMembers implements store.Store. Each call of f has all registered processes.
 func (s *Store) WatchMembers(ctx context.Context, f func([]store.Member)) {
-	s.follow(ctx, func() func() {
-		if s.hidden {
+	s.watch(ctx, func() func() {
+		if s.membersHidden {
 			return func() {}
 		}
 		members := s.state.Registered()
@@ -147,25 +150,26 @@
 	})
 }
 
-// WatchOperators implements store.Store.
+// WatchOperators implements store.Store. It calls f at the start and after each change only.
 func (s *Store) WatchOperators(ctx context.Context, _ time.Duration, f func(routing.OperatorUpdate)) {
-	s.follow(ctx, func() func() {
+	s.watch(ctx, func() func() {
 		if s.refusing {
 			return func() {}
 		}
-		news := routing.OperatorUpdate{Configuration: s.configuration, Evacuations: s.evacuations}
-		return func() { f(news) }
+		update := routing.OperatorUpdate{Configuration: s.configuration, Evacuations: s.evacuations}
+		return func() { f(update) }
 	})
 }
 
-// follow reads under the lock, and tells without it, at each change.
-func (s *Store) follow(ctx context.Context, read func() (tell func())) {
+// watch calls read with mu held, then the function that read returns without it: at the start
+// and after each call of notify, until ctx ends.
+func (s *Store) watch(ctx context.Context, read func() (deliver func())) {
 	for ctx.Err() == nil {
 		s.mu.Lock()
 		changed := s.changed
-		tell := read()
+		deliver := read()
 		s.mu.Unlock()
-		tell()
+		deliver()
 		select {
 		case <-ctx.Done():
 		case <-changed:
--- a/jobs/local/cluster.go
+++ b/jobs/local/cluster.go
@@ -1,6 +1,6 @@
-// Package local runs coordinators and workers in one process, on a stand-in of
-// the store and of each backend server. Tests and `lichenfall dev` use it. It owns
-// all that it starts, and ends it with Close.
+// Package local runs coordinators and workers in one process, with stand-ins for the
+// store and the backend servers. Tests and `lichenfall dev` use it. It owns all that it
+// starts, and ends it with Close.
 package local
 
 import (
@@ -24,39 +24,40 @@
 	"github.com/lichenfall/lichenfall/metrics"
 )
 
-// Options says what a Cluster runs.
+// Options are the numbers and settings of the processes of a Cluster.
 type Options struct {
 	Coordinators int
 	Workers      int
-	DataCentres  []string      // of the workers, by turns; the default if empty
-	HTTP         string        // address of the first coordinator; empty means any port
+	DataCentres  []string      // of the workers, assigned round-robin; the default if empty
+	HTTP         string        // address of the first coordinator's HTTP server; empty means any port
 	TaskTime     time.Duration // how long each task takes
-	Subset       config.Subset // workers of each coordinator; the defaults if zero
+	Subset       config.Subset // how many workers each coordinator uses; the defaults if zero
 	Log          *logging.Log
 }
 
-// Queue is the queue of a Cluster, and its service.
 const (
-	Queue   = "default"
-	service = "stand-in"
+	Queue   = "default"  // the only queue of a Cluster
+	service = "stand-in" // of all its backend servers
 )
 
-// Cluster is a running system of coordinators and workers on stand-ins.
+// Cluster is a running system of coordinators and workers on stand-ins. Its methods may not be
+// called concurrently.
 type Cluster struct {
 	Store        *fakestore.Store
 	Backends     []*fakebackend.Backend
-	Coordinators []*coordinator.Coordinator
+	Coordinators []*coordinator.Coordinator // nil where StopCoordinator has ended it
 	Workers      []*worker.Worker
-	URLs         []string // of the coordinators' own interface
+	URLs         []string // base URLs of the coordinators' HTTP servers
 
 	opts    Options
 	servers []*web.Server
 }
 
-// jobPartitions is the number of partitions, as on the users' platform.
+// jobPartitions is the number of partitions of the store, as on the users' platform.
 const jobPartitions = 8
 
-// Start starts a Cluster.
+// Start starts a Cluster and returns once its processes have registered, or after registerTimeout.
+// On an error it ends what it has started.
 func Start(o Options) (*Cluster, error) {
 	c := &Cluster{Store: fakestore.New(jobPartitions), opts: o}
 	c.Store.Configure(&routing.Configuration{Version: 1, Rules: []routing.Rule{{Host: "localhost", Prefix: "/", Queue: durable.Queue{
@@ -74,19 +75,19 @@
 			return nil, err
 		}
 	}
-	c.awaitRegistered()
+	c.waitForRegistrations()
 	return c, nil
 }
 
-// registeredWithin bounds the wait for the processes of a Cluster to register. Some times what
-// it takes, 2 s.
-const registeredWithin = 10 * time.Second
+// registerTimeout bounds the wait for the processes of a Cluster to register; it is several times
+// the 2 s that this takes.
+const registerTimeout = 10 * time.Second
 
-// awaitRegistered waits until the processes can find each other: workers that nobody tells
-// of themselves register after a while.
-func (c *Cluster) awaitRegistered() {
-	end := time.Now().Add(registeredWithin)
-	for c.Store.Registered() < c.opts.Workers+c.opts.Coordinators && time.Now().Before(end) {
+// waitForRegistrations waits until all processes have registered, so that they can find each
+// other. A worker registers after a delay if no coordinator has reported its record to it.
+func (c *Cluster) waitForRegistrations() {
+	deadline := time.Now().Add(registerTimeout)
+	for c.Store.Registered() < c.opts.Workers+c.opts.Coordinators && time.Now().Before(deadline) {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
@@ -114,8 +115,8 @@
 	return w, nil
 }
 
-// RestartWorker ends a worker and starts another beside the same backend
-// server.
+// RestartWorker ends a worker and starts another for the same backend server, whose runs
+// continue.
 func (c *Cluster) RestartWorker(i int) error {
 	c.Workers[i].Close()
 	w, err := c.startWorker(i)
@@ -150,7 +151,8 @@
 	return nil
 }
 
-// StopCoordinator ends a coordinator: in order, or at once.
+// StopCoordinator ends a coordinator. A planned stop first drains it and waits up to a minute for
+// the HTTP calls in flight; otherwise it ends at once.
 func (c *Cluster) StopCoordinator(i int, planned bool) {
 	if planned {
 		c.Coordinators[i].Drain()
@@ -163,7 +165,7 @@
 	c.Coordinators[i] = nil
 }
 
-// Close ends everything.
+// Close ends all processes of the Cluster at once.
 func (c *Cluster) Close() {
 	for _, s := range c.servers {
 		s.Close()
@@ -180,5 +182,5 @@
 	}
 }
 
-// AddCoordinator starts one more.
+// AddCoordinator starts one more coordinator, at the next index.
 func (c *Cluster) AddCoordinator() error { return c.addCoordinator(len(c.Coordinators)) }
--- a/jobs/local/cluster_test.go
+++ b/jobs/local/cluster_test.go
@@ -22,20 +22,23 @@
 	"github.com/lichenfall/lichenfall/lib/logging"
 )
 
-// patience is a bound that a slow machine does not reach.
-const patience = 60 * time.Second
+// waitLimit bounds every wait; it is long enough for a slow machine.
+const waitLimit = 60 * time.Second
 
 func TestLocal(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "local")
 }
 
+// jobSystem is a Cluster with the calls that the tests make.
 type jobSystem struct{ *local.Cluster }
 
+// startJobs starts three coordinators and four workers whose tasks take the time given.
 func startJobs(work time.Duration) jobSystem {
 	return startSystem(local.Options{Coordinators: 3, Workers: 4, TaskTime: work})
 }
 
+// startSystem starts a Cluster that ends with the test.
 func startSystem(o local.Options) jobSystem {
 	o.Log = logging.Discard()
 	c, err := local.Start(o)
@@ -44,13 +47,14 @@
 	return jobSystem{c}
 }
 
-// call makes a call and returns status and body.
-func (s jobSystem) call(method string, entry int, path string, body any) (int, string) {
+// call sends an HTTP request to a coordinator and returns status and body; the status is 0 if there
+// is no response.
+func (s jobSystem) call(method string, coordinator int, path string, body any) (int, string) {
 	b, err := json.Marshal(body)
 	Expect(err).NotTo(HaveOccurred())
-	req, err := http.NewRequest(method, s.URLs[entry]+path, bytes.NewReader(b))
+	req, err := http.NewRequest(method, s.URLs[coordinator]+path, bytes.NewReader(b))
 	Expect(err).NotTo(HaveOccurred())
-	resp, err := (&http.Client{Timeout: patience}).Do(req)
+	resp, err := (&http.Client{Timeout: waitLimit}).Do(req)
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -59,6 +63,7 @@
 	return resp.StatusCode, string(text)
 }
 
+// jobOf returns the request for job n, of one step with that many tasks.
 func jobOf(n int, bestEffort bool, tasks uint32) coordinator.JobRequest {
 	return coordinator.JobRequest{
 		ID: fmt.Sprintf("%016x", n), Queue: local.Queue, Spec: "x", BestEffort: bestEffort,
@@ -66,29 +71,30 @@
 	}
 }
 
-// submit sends the job until it is taken.
-func (s jobSystem) submit(entry int, j coordinator.JobRequest) {
+// submit submits the job to a coordinator until it is accepted.
+func (s jobSystem) submit(at int, j coordinator.JobRequest) {
 	Eventually(func() int {
-		status, _ := s.call(http.MethodPost, entry, "/v1/jobs", j)
+		status, _ := s.call(http.MethodPost, at, "/v1/jobs", j)
 		return status
-	}).WithTimeout(patience).Should(Equal(http.StatusOK))
+	}).WithTimeout(waitLimit).Should(Equal(http.StatusOK))
 }
 
-func (s jobSystem) becomes(entry int, id, state string) {
+// awaitState waits until the job is in the state, as a coordinator answers.
+func (s jobSystem) awaitState(at int, id, state string) {
 	Eventually(func() string {
-		_, body := s.call(http.MethodGet, entry, "/v1/jobs/"+id, nil)
+		_, body := s.call(http.MethodGet, at, "/v1/jobs/"+id, nil)
 		return body
-	}).WithTimeout(patience).Should(MatchJSON(fmt.Sprintf(`{"id":%q,"state":%q}`, id, state)))
+	}).WithTimeout(waitLimit).Should(MatchJSON(fmt.Sprintf(`{"id":%q,"state":%q}`, id, state)))
 }
 
 var _ = Describe("coordinators and workers", func() {
-	It("keep jobs and bring them to their end, asked anywhere", func() {
+	It("store jobs and complete them, and any coordinator answers with their state", func() {
 		s := startJobs(20 * time.Millisecond)
 		for n := range 30 {
 			s.submit(n%3, jobOf(n, false, 5))
 		}
 		for n := range 30 {
-			s.becomes((n+1)%3, fmt.Sprintf("%016x", n), "completed")
+			s.awaitState((n+1)%3, fmt.Sprintf("%016x", n), "completed")
 		}
 		starts := 0
 		for _, b := range s.Backends {
@@ -96,10 +102,10 @@
 				starts += n
 			}
 		}
-		Expect(starts).To(Equal(150), "each task once")
+		Expect(starts).To(Equal(150), "one start of each task")
 	})
 
-	It("answer best-effort jobs with their end, also while the store is out", func() {
+	It("answer best-effort jobs with their result, also while the store refuses all calls", func() {
 		s := startJobs(20 * time.Millisecond)
 		s.submit(0, jobOf(1, true, 2))
 		s.Store.Refuse(true)
@@ -110,7 +116,7 @@
 		Expect(status).To(Equal(http.StatusServiceUnavailable))
 	})
 
-	It("bring a kept job to its end when its owner is gone, in order or not", func() {
+	It("complete a durable job after its owner has stopped, planned or not", func() {
 		s := startJobs(400 * time.Millisecond)
 		for n := range 20 {
 			s.submit(n%3, jobOf(n, false, 3))
@@ -118,11 +124,11 @@
 		s.StopCoordinator(0, true)
 		s.StopCoordinator(1, false)
 		for n := range 20 {
-			s.becomes(2, fmt.Sprintf("%016x", n), "completed")
+			s.awaitState(2, fmt.Sprintf("%016x", n), "completed")
 		}
 	})
 
-	It("keep what was acknowledged when all of them are gone at once", func() {
+	It("complete all acknowledged jobs after all coordinators have stopped at once", func() {
 		s := startJobs(300 * time.Millisecond)
 		for n := range 12 {
 			s.submit(n%3, jobOf(n, false, 3))
@@ -132,13 +138,13 @@
 		}
 		Expect(s.AddCoordinator()).To(Succeed())
 		for n := range 12 {
-			s.becomes(3, fmt.Sprintf("%016x", n), "completed")
+			s.awaitState(3, fmt.Sprintf("%016x", n), "completed")
 		}
 	})
 
-	It("take no partition over before they know whom to ask what runs", func() {
+	It("take over no partition before they know the workers to ask for run reports", func() {
 		s := startJobs(3 * time.Second)
-		for n := range 8 { // of all partitions, most likely
+		for n := range 8 { // most likely a job in each partition
 			s.submit(0, jobOf(n, false, 2))
 		}
 		for i := range 3 {
@@ -149,25 +155,25 @@
 		Consistently(func() int {
 			status, _ := s.call(http.MethodGet, 3, "/v1/jobs/"+fmt.Sprintf("%016x", 0), nil)
 			return status
-		}).WithTimeout(2 * time.Second).Should(Equal(http.StatusServiceUnavailable)) // the former owners' time is over by then
+		}).WithTimeout(2 * time.Second).Should(Equal(http.StatusServiceUnavailable)) // the former owners' memberships expire before that
 		s.Store.HideMembers(false)
 		for n := range 8 {
-			s.becomes(3, fmt.Sprintf("%016x", n), "completed")
+			s.awaitState(3, fmt.Sprintf("%016x", n), "completed")
 		}
 	})
 
-	It("go on with what runs when a worker is replaced", func() {
+	It("continue the runs of a worker that is replaced", func() {
 		s := startJobs(300 * time.Millisecond)
 		for n := range 12 {
 			s.submit(n%3, jobOf(n, false, 3))
 		}
 		Expect(s.RestartWorker(0)).To(Succeed())
 		for n := range 12 {
-			s.becomes(0, fmt.Sprintf("%016x", n), "completed")
+			s.awaitState(0, fmt.Sprintf("%016x", n), "completed")
 		}
 	})
 
-	It("refuse bad jobs by kind and field", func() {
+	It("refuse invalid jobs with their status and field", func() {
 		s := startJobs(time.Millisecond)
 		s.submit(0, jobOf(1, false, 1))
 		for _, c := range []struct {
@@ -190,7 +196,7 @@
 	})
 })
 
-var _ = Describe("coordinators that each use a few of the workers", func() {
+var _ = Describe("coordinators that each use a subset of the workers", func() {
 	few := local.Options{Coordinators: 3, Workers: 6, TaskTime: 300 * time.Millisecond, Subset: config.Subset{Size: 2, Coverage: 1}}
 
 	It("use all workers together", func() {
@@ -202,7 +208,7 @@
 		}
 		for n := range 60 {
 			if n%2 == 1 {
-				s.becomes(n%3, fmt.Sprintf("%016x", n), "completed")
+				s.awaitState(n%3, fmt.Sprintf("%016x", n), "completed")
 			}
 		}
 		for i, b := range s.Backends {
@@ -210,7 +216,7 @@
 		}
 	})
 
-	It("find what runs at any worker when they take a partition over", func() {
+	It("find the runs at all workers when they take over a partition", func() {
 		s := startSystem(few)
 		for n := range 24 {
 			s.submit(n%3, jobOf(n, false, 3))
@@ -220,22 +226,22 @@
 		}
 		Expect(s.AddCoordinator()).To(Succeed())
 		for n := range 24 {
-			s.becomes(3, fmt.Sprintf("%016x", n), "completed")
+			s.awaitState(3, fmt.Sprintf("%016x", n), "completed")
 		}
 	})
 })
 
-var _ = Describe("a best-effort job that is sent again elsewhere", func() {
-	It("joins the copy that still runs at another coordinator", func() {
+var _ = Describe("a best-effort job that its caller resends to another coordinator", func() {
+	It("joins the job that still runs at the first coordinator", func() {
 		s := startJobs(4 * time.Second)
-		s.submit(0, jobOf(1, true, 1)) // all are up from here on
+		s.submit(0, jobOf(1, true, 1)) // from here on all processes are up
 		first := make(chan int, 1)
 		go func() {
 			defer GinkgoRecover()
 			status, _ := s.call(http.MethodPost, 0, "/v1/jobs", jobOf(2, true, 2))
 			first <- status
 		}()
-		time.Sleep(2 * time.Second) // its caller gives up and comes again
+		time.Sleep(2 * time.Second) // then the caller gives up and resends the job
 		status, body := s.call(http.MethodPost, 1, "/v1/jobs", jobOf(2, true, 2))
 		Expect(status).To(Equal(http.StatusOK), body)
 		Expect(<-first).To(Equal(http.StatusOK))
@@ -247,12 +253,12 @@
 				}
 			}
 		}
-		Expect(starts).To(Equal(2), "two tasks, each once")
+		Expect(starts).To(Equal(2), "starts of two tasks, one each")
 	})
 })
 
 var _ = Describe("the record of a worker", func() {
-	It("follows the capacity of its backend server, which a successor begins with", func() {
+	It("follows the capacity of its backend server, so that its successor begins with it", func() {
 		s := startJobs(20 * time.Millisecond)
 		var members atomic.Pointer[[]store.Member]
 		members.Store(&[]store.Member{})
@@ -268,10 +274,10 @@
 			return durable.Resources{}
 		}
 		full := s.Backends[0].Capacity
-		Eventually(registered, patience).Should(Equal(full))
+		Eventually(registered, waitLimit).Should(Equal(full))
 		half := durable.Resources{CPU: full.CPU / 2, Memory: full.Memory}
 		s.Backends[0].Resize(half)
 		s.Workers[0].Reported(s.Backends[0].Report())
-		Eventually(registered, patience).Should(Equal(half))
+		Eventually(registered, waitLimit).Should(Equal(half))
 	})
 })
--- a/jobs/local/evacuation_test.go
+++ b/jobs/local/evacuation_test.go
@@ -11,14 +11,14 @@
 	"github.com/lichenfall/lichenfall/jobs/local"
 )
 
-// overview returns what a coordinator says of itself.
+// overview returns the overview of a coordinator.
 func (s jobSystem) overview(i int) coordinator.Overview {
 	o, ok := s.Coordinators[i].Overview()
 	ExpectWithOffset(1, ok).To(BeTrue())
 	return o
 }
 
-// evacuatedAt returns which data centres a coordinator knows to be evacuated.
+// evacuatedAt returns the data centres that are evacuated by the overview of a coordinator.
 func (s jobSystem) evacuatedAt(i int) []string {
 	var out []string
 	for _, e := range s.overview(i).Evacuations {
@@ -27,7 +27,7 @@
 	return out
 }
 
-// startsAt returns how many tasks the backend server of a worker has started.
+// startsAt returns how many runs the backend server of a worker has started.
 func (s jobSystem) startsAt(worker int) int {
 	n := 0
 	for _, starts := range s.Backends[worker].Starts() {
@@ -37,14 +37,14 @@
 }
 
 var _ = Describe("a data centre that operators evacuate", func() {
-	It("starts nothing until it is taken back, is shown, and with all others has jobs refused at once", func() {
+	It("starts nothing until the evacuation ends, is in the overview, and if all are evacuated, jobs are refused at once", func() {
 		s := startSystem(local.Options{Coordinators: 2, Workers: 2, DataCentres: []string{"east", "west"}, TaskTime: 5 * time.Millisecond})
 		s.submit(0, jobOf(1, true, 4))
 		s.submit(1, jobOf(2, true, 4))
 
 		s.Store.Evacuate("east")
 		for i := range s.Coordinators {
-			Eventually(func() []string { return s.evacuatedAt(i) }).WithTimeout(patience).Should(Equal([]string{"east"}))
+			Eventually(func() []string { return s.evacuatedAt(i) }).WithTimeout(waitLimit).Should(Equal([]string{"east"}))
 		}
 		before := s.startsAt(0)
 		for n := range 10 {
@@ -55,7 +55,7 @@
 
 		s.Store.Evacuate("east", "west")
 		for i := range s.Coordinators {
-			Eventually(func() []string { return s.evacuatedAt(i) }).WithTimeout(patience).Should(HaveLen(2))
+			Eventually(func() []string { return s.evacuatedAt(i) }).WithTimeout(waitLimit).Should(HaveLen(2))
 		}
 		began := time.Now()
 		status, _ := s.call(http.MethodPost, 0, "/v1/jobs", jobOf(30, true, 1))
@@ -68,16 +68,16 @@
 		n := 40
 		Eventually(func() int {
 			n++
-			s.submit(n%2, jobOf(n, true, 8)) // each coordinator prefers another worker
+			s.submit(n%2, jobOf(n, true, 8)) // to both coordinators, since each prefers a different worker
 			return s.startsAt(0)
-		}).WithTimeout(patience).Should(BeNumerically(">", before))
+		}).WithTimeout(waitLimit).Should(BeNumerically(">", before))
 	})
 
-	It("stays so for a worker and a coordinator that begin meanwhile", func() {
+	It("stays evacuated for a worker and a coordinator that start meanwhile", func() {
 		s := startSystem(local.Options{Coordinators: 1, Workers: 2, DataCentres: []string{"east", "west"}, TaskTime: 5 * time.Millisecond})
 		s.submit(0, jobOf(1, true, 4))
 		s.Store.Evacuate("east")
-		Eventually(func() []string { return s.evacuatedAt(0) }).WithTimeout(patience).Should(HaveLen(1))
+		Eventually(func() []string { return s.evacuatedAt(0) }).WithTimeout(waitLimit).Should(HaveLen(1))
 		before := s.startsAt(0)
 		Expect(s.RestartWorker(0)).To(Succeed())
 		Expect(s.AddCoordinator()).To(Succeed())
--- a/main.go
+++ b/main.go
@@ -1,6 +1,5 @@
-// Lichenfall is a dispatcher for sub-second tasks. This program holds its
-// daemons, its stand-ins and its tools, a command each. Package commands owns the
-// command line; nothing else stands here.
+// Lichenfall is a dispatcher for sub-second tasks. Its daemons, stand-ins and tools are
+// commands of this one program. Package commands owns the command line.
 package main
 
 import (
