--- a/commands/coordinator.go
+++ b/commands/coordinator.go
@@ -30,7 +30,7 @@
 // Execute runs a coordinator until a stop signal, then makes a planned stop.
 func (c *coordinatorCommand) Execute([]string) error {
 	cfg := config.DefaultCoordinator()
-	defer c.close()
+	defer c.shutdown()
 	if err := c.start("coordinator", commonSettings{cfg, &cfg.Process, &cfg.Log, &cfg.Store, &cfg.Admin}); err != nil {
 		return err
 	}
--- a/commands/jobdaemon.go
+++ b/commands/jobdaemon.go
@@ -15,7 +15,7 @@
 )
 
 // jobDaemon holds what the daemons of coordinators and workers have in common. It owns the
-// admin server and the metrics; close ends both.
+// admin server and the metrics; shutdown ends both.
 type jobDaemon struct {
 	settingsFlag
 	signals  signals
@@ -37,7 +37,7 @@
 }
 
 // start reads the settings and starts the log, the metrics, the store's client and the admin
-// server. close must be called after it, even if it returns an error.
+// server. shutdown must be called after it, even if it returns an error.
 func (d *jobDaemon) start(role string, c commonSettings) error {
 	d.signals = watchSignals()
 	if err := d.load(c.settings); err != nil {
@@ -55,8 +55,8 @@
 	return err
 }
 
-// close ends what start has started.
-func (d *jobDaemon) close() {
+// shutdown ends what start has started.
+func (d *jobDaemon) shutdown() {
 	if d.admin != nil {
 		d.admin.Close()
 	}
--- a/commands/worker.go
+++ b/commands/worker.go
@@ -27,7 +27,7 @@
 // Execute runs a worker until a stop signal, then ends it; its runs continue under their lease.
 func (c *workerCommand) Execute([]string) error {
 	cfg := config.DefaultWorker()
-	defer c.close()
+	defer c.shutdown()
 	if err := c.start("worker", commonSettings{cfg, &cfg.Process, &cfg.Log, &cfg.Store, &cfg.Admin}); err != nil {
 		return err
 	}
