--- a/layout_test.go
+++ b/layout_test.go
@@ -15,7 +15,7 @@
 
 const module = "github.com/lichenfall/lichenfall/"
 
-// cores are the packages without I/O, and the packages of ours that each may
+// cores are the packages that do no I/O, and the packages of this module that each may
 // import; see docs/ARCHITECTURE.md.
 var cores = map[string][]string{
 	"lib/failure": {},
@@ -42,9 +42,9 @@
 	"submissions/dispatch":   {"submissions/claim", "lib/failure", "submissions/job", "submissions/placement", "lib/retry", "wire"},
 }
 
-// groups are the folders of packages that belong together, and the packages and
-// groups that those in each may import. What both systems share stands in lib, or
-// knows the packages of both: config, metrics and wire.
+// groups are the top-level folders of packages, and the packages and groups that their
+// packages may import. Code that both systems share is in lib, or in config, metrics and
+// wire, which may import the packages of both.
 var groups = map[string][]string{
 	"lib":         {"lib", "wire"},
 	"jobs":        {"jobs", "lib", "wire", "config", "metrics"},
@@ -52,33 +52,37 @@
 	"platform":    {"jobs", "lib", "wire"},
 }
 
+// ioPackages are the packages of the standard library that do I/O.
 var ioPackages = []string{"net", "os", "os/exec", "os/signal", "io/fs", "syscall", "net/netip"}
 
-// users of the stand-ins and of whole local systems.
+// mayUseFakes are the packages that may import stand-ins.
 var mayUseFakes = []string{"jobs/local", "submissions/local", "commands"}
 
+// TestLayout checks the imports of all packages against cores and groups. It also fails if code
+// starts processes, or uses a stand-in outside mayUseFakes.
 func TestLayout(t *testing.T) {
 	walk(t, func(file, pkg string, imports []string) {
 		for _, path := range imports {
-			ours, isOurs := strings.CutPrefix(path, module)
+			local, isLocal := strings.CutPrefix(path, module)
 			allowed, isCore := cores[pkg]
 			switch {
-			case isCore && isOurs && !slices.Contains(allowed, ours):
-				t.Errorf("%s: core %s may not import %s", file, pkg, ours)
+			case isCore && isLocal && !slices.Contains(allowed, local):
+				t.Errorf("%s: core %s may not import %s", file, pkg, local)
 			case isCore && slices.Contains(ioPackages, path):
-				t.Errorf("%s: core %s does I/O by %s", file, pkg, path)
+				t.Errorf("%s: core %s does I/O with %s", file, pkg, path)
 			case path == "os/exec":
 				t.Errorf("%s: starts processes", file)
-			case isOurs && !mayImport(pkg, ours):
-				t.Errorf("%s: %s may not import %s", file, pkg, ours)
-			case isOurs && strings.HasPrefix(path[strings.LastIndex(path, "/")+1:], "fake") && !slices.Contains(mayUseFakes, pkg):
+			case isLocal && !mayImport(pkg, local):
+				t.Errorf("%s: %s may not import %s", file, pkg, local)
+			case isLocal && strings.HasPrefix(path[strings.LastIndex(path, "/")+1:], "fake") && !slices.Contains(mayUseFakes, pkg):
 				t.Errorf("%s: uses a stand-in", file)
 			}
 		}
 	})
 }
 
-// mayImport returns whether the group of the package may import the other one.
+// mayImport reports whether the group of the package may import the other package. Packages
+// outside the groups may import all.
 func mayImport(pkg, other string) bool {
 	group, _, _ := strings.Cut(pkg, "/")
 	allowed, grouped := groups[group]
@@ -88,7 +92,7 @@
 	return slices.ContainsFunc(allowed, func(a string) bool { return other == a || strings.HasPrefix(other, a+"/") })
 }
 
-// platformNames are names that only the users' platform has.
+// platformNames are names in the interfaces of the users' platform.
 var platformNames = []string{
 	"log-append", "log-read", "log-newest", "log-join", "log-leave", "private-key", "seq-no",
 	"run-start", "run-stop", "/v1/hold", "fencing-token", "deadline-ms", "last-seen", "clock-ms",
@@ -97,13 +101,15 @@
 	"best-effort\"", "bind-addrs", "port-range", "node-name", "/v1/readiness",
 }
 
+// TestOnlyTheAdapterKnowsThePlatform checks that only package platform names what is in the
+// interfaces of the users' platform, and that only package commands imports it.
 func TestOnlyTheAdapterKnowsThePlatform(t *testing.T) {
 	walk(t, func(file, pkg string, imports []string) {
 		if pkg == "platform" {
 			return
 		}
 		if pkg != "commands" && slices.Contains(imports, module+"platform") {
-			t.Errorf("%s: uses the adapter of the platform", file)
+			t.Errorf("%s: imports the adapter of the platform", file)
 		}
 		text, err := os.ReadFile(file)
 		if err != nil {
@@ -111,31 +117,31 @@
 		}
 		for _, name := range platformNames {
 			if strings.Contains(string(text), name) {
-				t.Errorf("%s: knows the platform's name %s", file, name)
+				t.Errorf("%s: contains the platform's name %s", file, name)
 			}
 		}
 	})
 }
 
-// named finds a file and the functions named after it in a page: `file.go` `f`, `g`.
-var named = regexp.MustCompile("`([a-z/]+\\.go)`((?:[ ,]*`[A-Za-z]+`)*)")
+// codeReference matches a reference in a page to a file and functions in it: `file.go` `f`, `g`.
+var codeReference = regexp.MustCompile("`([a-z/]+\\.go)`((?:[ ,]*`[A-Za-z]+`)*)")
 
-// TestPagesNameWhatExists holds the pages that an engineer on call follows into the
-// code.
+// TestPagesNameWhatExists checks that the files and functions exist that the pages refer to
+// which an engineer on call uses to find the code.
 func TestPagesNameWhatExists(t *testing.T) {
 	for _, page := range []string{"docs/DECISIONS.md", "docs/ARCHITECTURE.md", "docs/OPERATIONS.md"} {
 		text, err := os.ReadFile(page)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, m := range named.FindAllStringSubmatch(string(text), -1) {
-			checkNamed(t, page, m[1], m[2])
+		for _, m := range codeReference.FindAllStringSubmatch(string(text), -1) {
+			checkReference(t, page, m[1], m[2])
 		}
 	}
 }
 
-// checkNamed checks that a file of the repository has the functions.
-func checkNamed(t *testing.T, page, file, functions string) {
+// checkReference checks that a file of the repository exists and has the functions.
+func checkReference(t *testing.T, page, file, functions string) {
 	code, err := os.ReadFile(filepath.FromSlash(file))
 	if err != nil {
 		t.Errorf("%s: %v", page, err)
@@ -148,7 +154,7 @@
 	}
 }
 
-// walk calls f for each file of code that is no test.
+// walk calls f for each Go file that is not a test. It fails if a package of cores is missing.
 func walk(t *testing.T, f func(file, pkg string, imports []string)) {
 	seen := make(map[string]bool)
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
@@ -182,19 +188,20 @@
 	}
 }
 
-// readsOwnClock are the files of the daemons of jobs that may read the clock of package
-// time: what they measure ends in metrics or in a pause, not in a lease.
-var readsOwnClock = []string{
-	"jobs/coordinator/coordinator.go", // a seed
-	"jobs/coordinator/writer.go",      // how long a commit took
-	"jobs/worker/renew.go",            // whether a pause is due
+// mayReadTime are the files of coordinators and workers that may read the clock of package
+// time: what they measure is used for metrics, for a pause or as a seed, and no lease depends
+// on it.
+var mayReadTime = []string{
+	"jobs/coordinator/coordinator.go", // the seed of random numbers
+	"jobs/coordinator/writer.go",      // the duration of a commit, for metrics
+	"jobs/worker/renew.go",            // whether the pause before the next request is due
 }
 
-// TestLeasesCountSuspensions sees that the daemons of jobs take the time from lib/clock,
-// since that of package time stands still while the box is suspended.
+// TestLeasesCountSuspensions checks that coordinators and workers read the time from lib/clock,
+// since the monotonic clock of package time stops while the box is suspended.
 func TestLeasesCountSuspensions(t *testing.T) {
 	walk(t, func(file, pkg string, _ []string) {
-		if pkg != "jobs/coordinator" && pkg != "jobs/worker" || slices.Contains(readsOwnClock, file) {
+		if pkg != "jobs/coordinator" && pkg != "jobs/worker" || slices.Contains(mayReadTime, file) {
 			return
 		}
 		text, err := os.ReadFile(file)
--- a/scripts/pairs/bounds/site.go
+++ b/scripts/pairs/bounds/site.go
@@ -9,12 +9,12 @@
 	"github.com/BurntSushi/toml"
 )
 
-// site is what is read of a site file.
+// site has the fields that are used of a site file.
 type site struct {
 	Services []struct {
 		Node struct {
-			CPU   float64   `toml:"cpu"`   // thousandths of a core of a size of 1
-			Sizes []float64 `toml:"sizes"` // dealt out in turn
+			CPU   float64   `toml:"cpu"`   // millicores of a server of size 1
+			Sizes []float64 `toml:"sizes"` // of the servers, assigned round-robin
 		} `toml:"node"`
 	} `toml:"services"`
 	Machines []struct {
@@ -25,27 +25,27 @@
 	Days    []day   `toml:"day"`
 }
 
-// class is a kind of call, each a job of one step.
+// class is a kind of call. Each call is a job of one step.
 type class struct {
 	Name  string  `toml:"name"`
-	Worth float64 `toml:"worth"`
+	Worth float64 `toml:"worth"` // of one call
 	Work  struct {
-		Mean float64 `toml:"mean"` // milliseconds of a task
+		Mean float64 `toml:"mean"` // milliseconds for each task
 	} `toml:"work_ms"`
 	Jobs struct {
 		Width struct {
-			Mean float64 `toml:"mean"` // tasks
+			Mean float64 `toml:"mean"` // tasks for each job
 		} `toml:"width"`
 		CPU struct {
-			Mean float64 `toml:"mean"` // thousandths of a core of a task
+			Mean float64 `toml:"mean"` // millicores for each task
 		} `toml:"cpu"`
 	} `toml:"jobs"`
 }
 
-// taskSeconds returns how long the tasks of one job take together.
+// taskSeconds returns the sum of the run times of one job's tasks, in seconds.
 func (c *class) taskSeconds() float64 { return c.Jobs.Width.Mean * c.Work.Mean / 1000 }
 
-// day is a standard day.
+// day is a standard day of the site file. Times are in seconds from its start.
 type day struct {
 	Name    string  `toml:"name"`
 	Faults  []fault `toml:"faults"`
@@ -57,15 +57,17 @@
 	} `toml:"traffic"`
 }
 
-// fault is a disruption as the day's file has it.
+// fault is a disruption as the site file plans it.
 type fault struct {
 	Kind  string  `toml:"kind"`
 	At    float64 `toml:"at"`
 	For   float64 `toml:"for_s"`
 	Class string  `toml:"class"`
-	X     float64 `toml:"x"`
+	X     float64 `toml:"x"` // strength: factor of the load or of the run time
 }
 
+// readSite reads a site file and returns the site and its day of that name. The site must have
+// exactly one service.
 func readSite(path, name string) (*site, *day, error) {
 	s := &site{}
 	if _, err := toml.DecodeFile(path, s); err != nil {
@@ -81,9 +83,9 @@
 // windowSeconds is the length of a window of the report.
 const windowSeconds = 2
 
-// askedIn divides the calls of a window among the classes, by the mix of the day and the
-// bursts that are of one class.
-func (s *site) askedIn(d *day, from float64, n int) []float64 {
+// callsByClass divides n calls of the window that begins at from among the classes, by the mix of
+// the day's traffic and its bursts of a single class.
+func (s *site) callsByClass(d *day, from float64, n int) []float64 {
 	weights := make([]float64, len(s.Classes))
 	total := 0.0
 	for i, c := range s.Classes {
@@ -101,29 +103,29 @@
 	return weights
 }
 
-// overlap returns the share of the window that lies between the two seconds.
+// overlap returns the share of the window beginning at from that lies between begin and end.
 func overlap(from, begin, end float64) float64 {
 	return max(0, min(from+windowSeconds, end)-max(from, begin)) / windowSeconds
 }
 
-// roomIn returns how many seconds of tasks the servers could do in the window, each as
-// many tasks at once as it holds in whole. Servers that fail or hang do none, slow ones
-// so much less; those that leave are gone for good.
-func (s *site) roomIn(d *day, events []event, from float64) float64 {
+// capacityIn returns the task-seconds that the servers could run in the window that begins at
+// from. Each server runs as many tasks at once as fit into it whole. Servers that fail or hang
+// run none, slowed ones fewer by their factor, and removed ones do not return.
+func (s *site) capacityIn(d *day, events []event, from float64) float64 {
 	servers, slots := s.slots()
-	lost, off := 0.0, 0.0
+	lost, closed := 0.0, 0.0
 	for _, e := range events {
 		kind, _, _ := strings.Cut(e.Kind, " ")
 		if kind == "closing" {
-			off = max(off, overlap(from, e.At, e.At+d.Closing.Down))
+			closed = max(closed, overlap(from, e.At, e.At+d.Closing.Down))
 			continue
 		}
 		lost += d.lostTo(kind, e, from)
 	}
-	return slots * max(0, 1-lost/servers) * (1 - off) * windowSeconds
+	return slots * max(0, 1-lost/servers) * (1 - closed) * windowSeconds
 }
 
-// slots returns how many servers there are, and how many tasks they hold at once.
+// slots returns the number of servers, and how many tasks they can run at once in total.
 func (s *site) slots() (servers, slots float64) {
 	node := s.Services[0].Node
 	for _, m := range s.Machines {
@@ -139,12 +141,12 @@
 	return servers, slots
 }
 
-// lostTo returns how many servers the disruption takes in the window; a slow one counts in
-// part.
+// lostTo returns how many servers' capacity the disruption takes in the window that begins at
+// from. A server that is slowed, or affected for a part of the window, counts in part.
 func (d *day) lostTo(kind string, e event, from float64) float64 {
 	n := 0.0
 	if _, err := fmt.Sscanf(e.What, "%f servers", &n); err != nil {
-		return 0 // it does not strike servers
+		return 0 // it doesn't affect servers
 	}
 	switch kind {
 	case "srv_slow":
@@ -157,7 +159,8 @@
 	return 0
 }
 
-// strength returns how strong the disruption is that begins then.
+// strength returns the strength of the day's disruption of that kind that begins at that second,
+// or infinity if there is none.
 func (d *day) strength(kind string, at float64) float64 {
 	for _, f := range d.Faults {
 		if f.Kind == kind && math.Abs(f.At-at) < 0.01 {
@@ -167,26 +170,27 @@
 	return math.Inf(1)
 }
 
-// need returns what a task takes, in thousandths of a core.
+// need returns the millicores of the largest class of task.
 func (s *site) need() float64 {
-	most := 0.0
+	largest := 0.0
 	for _, c := range s.Classes {
-		most = max(most, c.Jobs.CPU.Mean)
+		largest = max(largest, c.Jobs.CPU.Mean)
 	}
-	return most
+	return largest
 }
 
-func (s *site) seconds(asked []float64) float64 {
+// seconds returns the task-seconds of the calls, which are given by class.
+func (s *site) seconds(calls []float64) float64 {
 	sum := 0.0
 	for i := range s.Classes {
-		sum += asked[i] * s.Classes[i].taskSeconds()
+		sum += calls[i] * s.Classes[i].taskSeconds()
 	}
 	return sum
 }
 
-// bound returns the share of the worth asked that fits into the room, if what is worth
-// most for the room that it takes goes first.
-func (s *site) bound(asked []float64, room float64) float64 {
+// bound returns the largest share of the calls' worth that fits into the capacity, given in
+// task-seconds: classes are served in the order of their worth for each task-second.
+func (s *site) bound(calls []float64, capacity float64) float64 {
 	order := make([]int, len(s.Classes))
 	for i := range order {
 		order[i] = i
@@ -200,13 +204,13 @@
 	})
 	total, served := 0.0, 0.0
 	for _, i := range order {
-		seconds := asked[i] * s.Classes[i].taskSeconds()
-		worth := asked[i] * s.Classes[i].Worth
+		seconds := calls[i] * s.Classes[i].taskSeconds()
+		worth := calls[i] * s.Classes[i].Worth
 		total += worth
 		if seconds > 0 {
-			served += worth * min(1, room/seconds)
+			served += worth * min(1, capacity/seconds)
 		}
-		room = max(0, room-seconds)
+		capacity = max(0, capacity-seconds)
 	}
 	if total == 0 {
 		return 1
--- a/scripts/pairs/compare.go
+++ b/scripts/pairs/compare.go
@@ -9,16 +9,16 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// difference is a mean difference between pairs, with half of its 95 % interval.
+// difference is the mean difference of n pairs. Its 95 % confidence interval is mean ± halfWidth.
 type difference struct {
-	mean, half float64
-	n          int
+	mean, halfWidth float64
+	n               int
 }
 
-// differenceOf returns the mean of the differences and the interval by Student's t;
-// the interval of one pair is not known.
+// differenceOf returns the mean of the differences and its confidence interval by Student's
+// t distribution. The half width for fewer than two pairs is NaN.
 func differenceOf(x []float64) difference {
-	d := difference{n: len(x), half: math.NaN()}
+	d := difference{n: len(x), halfWidth: math.NaN()}
 	if d.n > 0 {
 		d.mean = stat.Mean(x, nil)
 	}
@@ -27,11 +27,11 @@
 	}
 	const twoSided95 = 0.975
 	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(d.n - 1)}
-	d.half = t.Quantile(twoSided95) * stat.StdErr(stat.StdDev(x, nil), float64(d.n))
+	d.halfWidth = t.Quantile(twoSided95) * stat.StdErr(stat.StdDev(x, nil), float64(d.n))
 	return d
 }
 
-// String returns the difference as the table shows it.
+// String formats the difference as a cell of the table.
 func (d difference) String() string {
 	switch d.n {
 	case 0:
@@ -39,11 +39,12 @@
 	case 1:
 		return fmt.Sprintf("%+.4f, one pair", d.mean)
 	}
-	return fmt.Sprintf("%+.4f ± %.4f", d.mean, d.half)
+	return fmt.Sprintf("%+.4f ± %.4f", d.mean, d.halfWidth)
 }
 
-// pairsOf returns the differences in worth of a variant from the base, seed by seed.
-func pairsOf(d *day, base, variant string) []float64 {
+// worthDifferences returns by how much the worth of the variant exceeds that of the base, for each
+// seed that both have been played with.
+func worthDifferences(d *day, base, variant string) []float64 {
 	var x []float64
 	for _, seed := range d.seeds(base, variant) {
 		x = append(x, d.reports[variant][seed].Worth-d.reports[base][seed].Worth)
@@ -51,15 +52,16 @@
 	return x
 }
 
-// shares are the calls of all days of a variant, added up, and what was broken.
-type shares struct {
-	worth  []float64
-	calls  calls
-	p99    []float64
-	broken int // days with a broken rule
+// totals are the results of a variant over several reports.
+type totals struct {
+	worth  []float64 // of each report
+	calls  calls     // sums; P99 is not used
+	p99    []float64 // of each report, in milliseconds
+	broken int       // reports with a broken rule
 }
 
-func (s *shares) add(r report) {
+// add adds a report.
+func (s *totals) add(r report) {
 	s.worth = append(s.worth, r.Worth)
 	s.p99 = append(s.p99, r.All.P99)
 	s.calls.N += r.All.N
@@ -72,34 +74,36 @@
 	}
 }
 
-func (s *shares) row(name string) string {
-	of := func(n int) float64 { return 100 * float64(n) / float64(max(1, s.calls.N)) }
+// row formats the totals as a row of the table, with the calls in percent of all calls.
+func (s *totals) row(name string) string {
+	percent := func(n int) float64 { return 100 * float64(n) / float64(max(1, s.calls.N)) }
 	return fmt.Sprintf("| %s | %.4f | %.2f | %.2f | %.2f | %.2f | %.0f | %d |\n", name, stat.Mean(s.worth, nil),
-		of(s.calls.InTime), of(s.calls.Late), of(s.calls.Refused), of(s.calls.Failed), stat.Mean(s.p99, nil), s.broken)
+		percent(s.calls.InTime), percent(s.calls.Late), percent(s.calls.Refused), percent(s.calls.Failed), stat.Mean(s.p99, nil), s.broken)
 }
 
-// table returns the comparison as a page: the differences by day, and for each
-// variant what became of the calls.
+// table returns the comparison as a page in Markdown: the differences in worth by day, and for
+// each variant the outcomes of its calls.
 func table(days []day, variants []string) string {
 	var b strings.Builder
 	writeDifferences(&b, days, variants)
 	b.WriteString("\n| variant | worth | in time % | late % | refused % | failed % | p99 ms | days with a broken rule |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, v := range variants {
-		b.WriteString(sharesOf(days, v).row(v))
+		b.WriteString(totalsOf(days, v).row(v))
 	}
 	return b.String()
 }
 
-// writeDifferences writes a row for each day, and one for all.
+// writeDifferences writes a row for each day and one for all days. The first variant is the base
+// of the differences; its own column has its mean worth.
 func writeDifferences(b *strings.Builder, days []day, variants []string) {
 	base, others := variants[0], variants[1:]
 	b.WriteString("| day | pairs | " + strings.Join(variants, " | ") + " |\n| --- |" + strings.Repeat(" --- |", len(variants)+1) + "\n")
 	all := make(map[string][]float64)
 	for i := range days {
-		s := sharesOf(days[i:i+1], base)
+		s := totalsOf(days[i:i+1], base)
 		fmt.Fprintf(b, "| %s | %d | %.4f", days[i].name, len(s.worth), stat.Mean(s.worth, nil))
 		for _, v := range others {
-			x := pairsOf(&days[i], base, v)
+			x := worthDifferences(&days[i], base, v)
 			all[v] = append(all[v], x...)
 			b.WriteString(" | " + differenceOf(x).String())
 		}
@@ -112,9 +116,9 @@
 	b.WriteString(" |\n")
 }
 
-// sharesOf adds up the reports of a variant on the days.
-func sharesOf(days []day, variant string) *shares {
-	s := &shares{}
+// totalsOf adds up the reports of a variant on the days.
+func totalsOf(days []day, variant string) *totals {
+	s := &totals{}
 	for i := range days {
 		for _, r := range days[i].reports[variant] {
 			s.add(r)
--- a/scripts/pairs/compare_test.go
+++ b/scripts/pairs/compare_test.go
@@ -10,17 +10,17 @@
 
 func TestDifference(t *testing.T) {
 	d := differenceOf([]float64{0.01, 0.03, 0.02, 0.02})
-	const half = 3.1824 * 0.0081650 / 2 // t of 3 degrees of freedom, deviation, root of 4
-	if math.Abs(d.mean-0.02) > 1e-9 || math.Abs(d.half-half) > 1e-5 || d.n != 4 {
-		t.Errorf("%+v, not a mean of 0.02 and half an interval of %.5f", d, half)
+	const halfWidth = 3.1824 * 0.0081650 / 2 // t for 3 degrees of freedom, standard deviation, root of 4
+	if math.Abs(d.mean-0.02) > 1e-9 || math.Abs(d.halfWidth-halfWidth) > 1e-5 || d.n != 4 {
+		t.Errorf("%+v, want a mean of 0.02 and a half width of %.5f", d, halfWidth)
 	}
-	if one := differenceOf([]float64{0.5}); !math.IsNaN(one.half) {
-		t.Errorf("the interval of one pair is said to be known: %v", one.half)
+	if one := differenceOf([]float64{0.5}); !math.IsNaN(one.halfWidth) {
+		t.Errorf("the half width for one pair is %v, want NaN", one.halfWidth)
 	}
 }
 
-// TestCompare compares two variants of which the second lacks one seed: only pairs
-// count, and both files are written.
+// TestCompare compares two variants of which the second was not played with one seed: only
+// seeds that both have count, and the table and the plot are written.
 func TestCompare(t *testing.T) {
 	out := t.TempDir()
 	write := func(variant, seed, text string) {
--- a/scripts/pairs/draw.go
+++ b/scripts/pairs/draw.go
@@ -6,33 +6,34 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Sizes of the picture.
+// Dimensions of the plot.
 const (
-	rowHeight = 0.28 * vg.Inch // of the picture; chosen
-	margins   = 1.2 * vg.Inch  // chosen
-	width     = 8 * vg.Inch    // chosen
+	rowHeight = 0.28 * vg.Inch // of each difference
+	margins   = 1.2 * vg.Inch  // title, axis and its labels together
+	width     = 8 * vg.Inch
 )
 
-// bars are the differences of one variant, one above the other.
-type bars struct {
+// errorBars are the plotted differences, one above the other, with their confidence intervals.
+type errorBars struct {
 	plotter.XYs
 	plotter.XErrors
 }
 
-// draw writes the differences of each variant on each day, with their intervals.
+// draw plots the difference of each variant on each day, with its confidence interval, to a file.
+// It leaves out days with fewer than two pairs, and writes no file if that leaves none.
 func draw(days []day, variants []string, file string) error {
 	p := plot.New()
-	p.Title.Text = "worth less that of " + variants[0] + ", mean and 95 % interval of the pairs"
-	var b bars
+	p.Title.Text = "worth minus that of " + variants[0] + ", mean and 95 % interval of the pairs"
+	var b errorBars
 	var names []string
 	for _, v := range variants[1:] {
 		for i := range days {
-			d := differenceOf(pairsOf(&days[i], variants[0], v))
+			d := differenceOf(worthDifferences(&days[i], variants[0], v))
 			if d.n < 2 {
 				continue
 			}
 			b.XYs = append(b.XYs, plotter.XY{X: d.mean, Y: float64(len(names))})
-			b.XErrors = append(b.XErrors, struct{ Low, High float64 }{d.half, d.half})
+			b.XErrors = append(b.XErrors, struct{ Low, High float64 }{d.halfWidth, d.halfWidth})
 			names = append(names, v+", "+days[i].name)
 		}
 	}
--- a/scripts/pairs/main.go
+++ b/scripts/pairs/main.go
@@ -1,11 +1,11 @@
-// Command pairs compares variants of the program by the days that scripts/play has
-// played: each day with each seed on each variant. It reads OUT/SITE/DAY/VARIANT/SEED.json
+// Command pairs compares variants of the program by the reports of scripts/play, which plays
+// each day with each seed on each variant. It reads OUT/SITE/DAY/VARIANT/SEED.json
 // and writes OUT/pairs.md, a table of the mean differences from the first variant with
-// their 95 % intervals, and OUT/pairs.png, the same drawn.
+// their 95 % confidence intervals, and OUT/pairs.png, a plot of them.
 //
 //	go run . OUT VARIANT...
 //
-// It owns no state and relies on the users' bench for the reports.
+// It owns no state and relies on the users' bench for the format of the reports.
 package main
 
 import (
@@ -26,6 +26,7 @@
 	}
 }
 
+// run compares the variants and writes both files below out.
 func run(out string, variants []string) error {
 	days, err := readDays(out, variants)
 	if err != nil {
--- a/scripts/pairs/read.go
+++ b/scripts/pairs/read.go
@@ -9,30 +9,30 @@
 	"strings"
 )
 
-// calls counts the calls of a day by what became of them.
+// calls counts the calls of a day by their outcome.
 type calls struct {
 	N       int     `json:"n"`
 	InTime  int     `json:"in_aim"`
 	Late    int     `json:"late"`
 	Refused int     `json:"refused"`
 	Failed  int     `json:"failed"`
-	P99     float64 `json:"p99_ms"` // of those that were answered
+	P99     float64 `json:"p99_ms"` // latency of the answered calls
 }
 
-// report is what is read of the bench's report of one day.
+// report has the fields that are used of the bench's report of one day.
 type report struct {
 	Worth  float64        `json:"G"`
-	Broken map[string]any `json:"breaks"` // rules
+	Broken map[string]any `json:"breaks"` // by rule
 	All    calls          `json:"all"`
 }
 
-// day holds the reports of one day, by variant and seed.
+// day holds the reports of one day.
 type day struct {
-	name    string // SITE DAY
-	reports map[string]map[string]report
+	name    string                       // SITE DAY
+	reports map[string]map[string]report // by variant, then seed
 }
 
-// seeds returns the seeds that both variants have been played with.
+// seeds returns the seeds that both variants were played with, sorted.
 func (d *day) seeds(a, b string) []string {
 	var out []string
 	for seed := range d.reports[a] {
@@ -44,7 +44,8 @@
 	return out
 }
 
-// readDays reads all reports under out, in the order of their days.
+// readDays reads all reports of the variants under out, in the order of the sites and days. It
+// leaves out days without a report of the first variant.
 func readDays(out string, variants []string) ([]day, error) {
 	folders, err := filepath.Glob(filepath.Join(out, "*", "*"))
 	if err != nil {
@@ -66,7 +67,7 @@
 	return days, nil
 }
 
-// readReports reads the reports of one variant, by seed.
+// readReports reads the reports of one variant on one day, by seed.
 func readReports(folder string) (map[string]report, error) {
 	files, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil {
