--- a/jobs/fakebackend/backend.go
+++ b/jobs/fakebackend/backend.go
@@ -37,7 +37,7 @@
 	deadline      time.Duration // when the lease expires, on its own clock
 	running       map[wire.RunRef]activeRun
 	newestRun     map[durable.TaskID]uint32 // the highest run number that has ended or was stopped
-	unacked       []runtable.ListedEnd      // ends that no renewal has acknowledged
+	unacked       []runtable.ListedEnd      // ends that no renewal has acknowledged yet
 	lastEndNumber uint64
 	starts        map[durable.TaskID]int
 	journal       []Run
@@ -72,11 +72,11 @@
 const renewPollInterval = 2 * time.Millisecond
 
 // New returns an idle backend server whose runs take the time given.
-func New(service string, capacity durable.Resources, work time.Duration) *Backend {
+func New(service string, capacity durable.Resources, taskTime time.Duration) *Backend {
 	return &Backend{
 		Capacity:  capacity,
 		Service:   service,
-		TaskTime:  work,
+		TaskTime:  taskTime,
 		instance:  uuid.NewString(),
 		born:      time.Now().Add(-time.Second),
 		running:   make(map[wire.RunRef]activeRun),
@@ -108,11 +108,12 @@
 
 // percent returns the progress of an active run.
 func (b *Backend) percent(ref wire.RunRef) int {
-	work := b.taskTime(ref.Task)
+	total := b.taskTime(ref.Task)
 	left := time.Until(b.running[ref].endsAt)
-	return int(100 * (work - left) / work)
+	return int(100 * (total - left) / total)
 }
 
+// taskTime returns how long a run of the task takes.
 func (b *Backend) taskTime(t durable.TaskID) time.Duration {
 	if b.TaskTimeOf == nil {
 		return b.TaskTime
@@ -131,7 +132,7 @@
 	return out
 }
 
-// Identify implements worker.Backend.
+// Identify implements worker.Backend. It reports no start time, since its instance ID is unique.
 func (b *Backend) Identify(context.Context) (incarnation runtable.Incarnation, ok bool) {
 	return runtable.Incarnation{Instance: b.instance}, true
 }
--- a/jobs/local/cluster.go
+++ b/jobs/local/cluster.go
@@ -92,6 +92,7 @@
 	}
 }
 
+// addWorker starts a backend server and its worker.
 func (c *Cluster) addWorker(i int) error {
 	b := fakebackend.New(service, durable.Resources{CPU: 8000, Memory: 8192}, c.opts.TaskTime)
 	c.Backends = append(c.Backends, b)
@@ -100,6 +101,7 @@
 	return err
 }
 
+// startWorker starts a worker for the backend server of that index.
 func (c *Cluster) startWorker(i int) (*worker.Worker, error) {
 	cfg := config.DefaultWorker()
 	cfg.Box.Name = fmt.Sprintf("worker-%d", i)
@@ -126,6 +128,7 @@
 	return err
 }
 
+// addCoordinator starts a coordinator and its HTTP server.
 func (c *Cluster) addCoordinator(i int) error {
 	cfg := config.DefaultCoordinator()
 	cfg.Box.Name = fmt.Sprintf("coordinator-%d", i)
--- a/jobs/local/cluster_test.go
+++ b/jobs/local/cluster_test.go
@@ -34,8 +34,8 @@
 type jobSystem struct{ *local.Cluster }
 
 // startJobs starts three coordinators and four workers whose tasks take the time given.
-func startJobs(work time.Duration) jobSystem {
-	return startSystem(local.Options{Coordinators: 3, Workers: 4, TaskTime: work})
+func startJobs(taskTime time.Duration) jobSystem {
+	return startSystem(local.Options{Coordinators: 3, Workers: 4, TaskTime: taskTime})
 }
 
 // startSystem starts a Cluster that ends with the test.
@@ -49,10 +49,10 @@
 
 // call sends an HTTP request to a coordinator and returns status and body; the status is 0 if there
 // is no response.
-func (s jobSystem) call(method string, coordinator int, path string, body any) (int, string) {
+func (s jobSystem) call(method string, at int, path string, body any) (int, string) {
 	b, err := json.Marshal(body)
 	Expect(err).NotTo(HaveOccurred())
-	req, err := http.NewRequest(method, s.URLs[coordinator]+path, bytes.NewReader(b))
+	req, err := http.NewRequest(method, s.URLs[at]+path, bytes.NewReader(b))
 	Expect(err).NotTo(HaveOccurred())
 	resp, err := (&http.Client{Timeout: waitLimit}).Do(req)
 	if err != nil {
