--- a/commands/daemon.go
+++ b/commands/daemon.go
@@ -51,7 +51,7 @@
 // serveAdmin serves the operators' endpoints of a daemon: metrics, log level and /v1/state.
 func serveAdmin(listen string, reg *metrics.Registry, log *logging.Log, o *stateHandler) (*web.Server, error) {
 	e := web.NewEcho()
-	web.Operate(e, reg.Handler, log.Level)
+	web.AddOperatorEndpoints(e, reg.Handler, log.Level)
 	e.GET("/v1/state", o.serve)
 	return web.Listen(listen, e, web.DefaultLimits())
 }
--- a/config/jobroles.go
+++ b/config/jobroles.go
@@ -1,6 +1,6 @@
 package config
 
-// Coordinator is the file of a coordinator.
+// Coordinator holds the settings of a coordinator.
 type Coordinator struct {
 	Box       Box          `json:"box"`
 	Serving   Serving      `json:"serving"`
@@ -8,15 +8,14 @@
 	Peers     Peers        `json:"peers"`
 	Store     StoreAddress `json:"store"`
 	Ownership Ownership    `json:"ownership"`
-	Copies    Copies       `json:"copies"`
+	Dedup     Dedup        `json:"copies"`
 	Subset    Subset       `json:"subset"`
 	Scheduler Scheduler    `json:"scheduler"`
 	Process   Process      `json:"process"`
 	Log       Log          `json:"log"`
 }
 
-// DefaultCoordinator returns the defaults of Coordinator. It lacks
-// store.address, which has none.
+// DefaultCoordinator returns the defaults of Coordinator. store.address has no default.
 func DefaultCoordinator() *Coordinator {
 	return &Coordinator{
 		Box:       DefaultBox(),
@@ -24,7 +23,7 @@
 		Admin:     DefaultAdmin(),
 		Peers:     DefaultPeers(),
 		Ownership: DefaultOwnership(),
-		Copies:    DefaultCopies(),
+		Dedup:     DefaultDedup(),
 		Subset:    DefaultSubset(),
 		Scheduler: DefaultScheduler(),
 		Process:   DefaultProcess(),
@@ -37,20 +36,20 @@
 // LogLevel implements Settings.
 func (k *Coordinator) LogLevel() string { return k.Log.Level }
 
-// Worker is the file of a worker.
+// Worker holds the settings of a worker.
 type Worker struct {
-	Box     Box          `json:"box"`
-	Admin   Admin        `json:"admin"`
-	Peers   Peers        `json:"peers"`
-	Store   StoreAddress `json:"store"`
-	Backend Beside       `json:"backend"`
-	Runs    Runs         `json:"runs"`
-	Process Process      `json:"process"`
-	Log     Log          `json:"log"`
+	Box     Box           `json:"box"`
+	Admin   Admin         `json:"admin"`
+	Peers   Peers         `json:"peers"`
+	Store   StoreAddress  `json:"store"`
+	Backend WorkerBackend `json:"backend"`
+	Runs    Runs          `json:"runs"`
+	Process Process       `json:"process"`
+	Log     Log           `json:"log"`
 }
 
-// DefaultWorker returns the defaults of Worker. It lacks store.address,
-// backend.address and backend.listen, which have none.
+// DefaultWorker returns the defaults of Worker. store.address, backend.address and backend.listen
+// have no default.
 func DefaultWorker() *Worker {
 	return &Worker{
 		Box:     DefaultBox(),
--- a/jobs/coordinator/links.go
+++ b/jobs/coordinator/links.go
@@ -26,7 +26,7 @@
 func (c *Coordinator) connect(now time.Time, address string, role wire.Role) {
 	ctx, stop := context.WithCancel(c.ctx)
 	c.links[address] = &link{role: role, stop: stop, changed: now}
-	go peer.Keep(ctx, address, c.linkOptions(role), c.hello, outbound{c, address})
+	go peer.KeepConnected(ctx, address, c.linkOptions(role), c.hello, outbound{c, address})
 }
 
 // linkOptions returns the options of connections to processes of the role. Workers need no
@@ -135,7 +135,7 @@
 		c.handleForwardReply(m)
 	case *wire.QueueCounts:
 		c.handleAnnouncement(now, dedup.Peer{Address: e.address, Incarnation: e.conn.Peer().Incarnation}, m)
-	case *wire.CrashNews:
+	case *wire.CrashReport:
 		c.core.RecordCrashes(now, m)
 	case *wire.HandOver:
 		c.requestJoin()
--- a/jobs/room/bench_test.go
+++ b/jobs/room/bench_test.go
@@ -15,7 +15,7 @@
 	f := newFixture()
 	request := func() {
 		for i := range 12 {
-			var rows []wire.RoomWait
+			var rows []wire.WaitingGroup
 			for p := range 3 {
 				rows = append(rows, waits(100, 2+p, int64(10*p+i), 1))
 				rows[p].Priority = int32(p)
