--- a/submissions/agent/admin.go
+++ b/submissions/agent/admin.go
@@ -79,7 +79,7 @@
 		Leaving:     load.Leaving,
 		Links:       len(a.links),
 		Claims:      claims,
-		ClaimsSince: a.claims.Since(),
+		ClaimsSince: a.claims.MinTime(),
 		Usage:       a.usage,
 	}
 }
--- a/submissions/agent/agent.go
+++ b/submissions/agent/agent.go
@@ -132,14 +132,14 @@
 
 func queueLimits(cfg *config.Agent) queue.Limits {
 	return queue.Limits{
-		Slots:    cfg.Backend.Slots,
-		Queue:    cfg.Backend.Queue,
-		Remember: cfg.Claims.Entries,
-		Window:   cfg.Claims.Window.D(),
+		Slots:         cfg.Backend.Slots,
+		Queue:         cfg.Backend.Queue,
+		MaxRemembered: cfg.Claims.Entries,
+		Window:        cfg.Claims.Window.D(),
 
 		ClockBound: cfg.Peers.ClockBound.D(),
 		Hold:       cfg.Backend.Hold.D(),
-		InOrder:    cfg.Backend.Order == "arrival",
+		FIFO:       cfg.Backend.Order == "arrival",
 	}
 }
 
--- a/submissions/claim/claim_test.go
+++ b/submissions/claim/claim_test.go
@@ -49,9 +49,9 @@
 	})
 
 	It("grants nothing that a predecessor may have granted", func() {
-		Expect(t.Since()).To(Equal(start.Add(2 * bound)))
-		Expect(ask(id(t.Since().Add(-time.Millisecond)), "x", one, 1).Verdict).To(Equal(claim.Unknown))
-		Expect(ask(id(t.Since()), "x", one, 1).Verdict).To(Equal(claim.Granted))
+		Expect(t.MinTime()).To(Equal(start.Add(2 * bound)))
+		Expect(ask(id(t.MinTime().Add(-time.Millisecond)), "x", one, 1).Verdict).To(Equal(claim.Unknown))
+		Expect(ask(id(t.MinTime()), "x", one, 1).Verdict).To(Equal(claim.Granted))
 	})
 
 	It("grants nothing from beyond the clock bound or the window", func() {
--- a/submissions/claim/table.go
+++ b/submissions/claim/table.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// Since returns the time from which IDs can be granted.
-func (t *Table) Since() time.Time { return t.since }
+// MinTime returns the time from which IDs can be granted.
+func (t *Table) MinTime() time.Time { return t.since }
 
 // Len returns the number of claims remembered, and how many were forgotten
 // for want of room.
--- a/submissions/dispatch/bench_test.go
+++ b/submissions/dispatch/bench_test.go
@@ -50,14 +50,14 @@
 	c.Submit(now, n, s)
 	claimed := c.Take().Sends[0]
 	m := claimed.Message.(*wire.Claim)
-	c.Message(now, claimed.Peer, &wire.ClaimReply{Seq: m.Seq, Verdict: uint8(claim.Granted)})
+	c.HandleMessage(now, claimed.Peer, &wire.ClaimReply{Seq: m.Seq, Verdict: uint8(claim.Granted)})
 	for _, send := range c.Take().Sends {
 		p := send.Message.(*wire.Place)
 		r := &wire.Results{}
 		for _, t := range p.Tasks {
 			r.Items = append(r.Items, wire.Result{Job: p.Job, Index: t.Index, Attempt: t.Attempt, Ran: 2})
 		}
-		c.Message(now, send.Peer, r)
+		c.HandleMessage(now, send.Peer, r)
 	}
 	c.Take()
 }
--- a/submissions/dispatch/dispatch_test.go
+++ b/submissions/dispatch/dispatch_test.go
@@ -68,7 +68,7 @@
 	out := f.core.Take()
 	Expect(out.Sends).To(HaveLen(1))
 	m := out.Sends[0].Message.(*wire.Claim)
-	f.core.Message(f.now, "a", &wire.ClaimReply{Seq: m.Seq, Verdict: uint8(claim.Granted), Owner: "e", OwnerIncarnation: "i", GrantSeq: m.Seq})
+	f.core.HandleMessage(f.now, "a", &wire.ClaimReply{Seq: m.Seq, Verdict: uint8(claim.Granted), Owner: "e", OwnerIncarnation: "i", GrantSeq: m.Seq})
 	out = f.core.Take()
 	for _, d := range out.Deliveries {
 		f.answered[d.Caller] = d.Answer
@@ -119,7 +119,7 @@
 			Expect(at).To(HaveLen(1))
 			for agent, m := range at {
 				tried = append(tried, agent)
-				f.core.Message(f.now, agent, refusal(m, failure.QueueFull))
+				f.core.HandleMessage(f.now, agent, refusal(m, failure.QueueFull))
 			}
 			f.pass(20 * time.Millisecond)
 			out := f.core.Take()
@@ -137,12 +137,12 @@
 	It("are bounded by the retry budget (hazard 17)", func() {
 		f := newFixture(nil) // two retries in stock, and none earned
 		for agent, m := range f.granted(1, f.submission(2)) {
-			f.core.Message(f.now, agent, refusal(m, failure.QueueFull))
+			f.core.HandleMessage(f.now, agent, refusal(m, failure.QueueFull))
 		}
 		Expect(f.seen.counts["retry: queue_full"]).To(Equal(2))
 		Expect(f.core.Take().Deliveries).To(BeEmpty())
 		for agent, m := range f.granted(2, f.submission(1)) {
-			f.core.Message(f.now, agent, refusal(m, failure.QueueFull))
+			f.core.HandleMessage(f.now, agent, refusal(m, failure.QueueFull))
 		}
 		out := f.core.Take()
 		Expect(out.Deliveries).To(HaveLen(1))
@@ -159,7 +159,7 @@
 			Expect(at).To(HaveLen(1))
 			for agent, m := range at {
 				limits = append(limits, m.MaxQueue)
-				f.core.Message(f.now, agent, refusal(m, failure.Busy))
+				f.core.HandleMessage(f.now, agent, refusal(m, failure.Busy))
 			}
 			at = places(f.core.Take())
 		}
@@ -169,7 +169,7 @@
 	It("are not made for what may have run", func() {
 		f := newFixture(nil)
 		for agent, m := range f.granted(1, f.submission(1)) {
-			f.core.Message(f.now, agent, refusal(m, failure.BackendLost))
+			f.core.HandleMessage(f.now, agent, refusal(m, failure.BackendLost))
 		}
 		out := f.core.Take()
 		Expect(places(out)).To(BeEmpty())
@@ -188,7 +188,7 @@
 				for _, t := range m.Tasks {
 					r.Items = append(r.Items, wire.Result{Job: m.Job, Index: t.Index, Attempt: 1, Ran: uint8(failure.DidRun), RunMicros: 500000, Body: []byte("1")})
 				}
-				f.core.Message(f.now, agent, r)
+				f.core.HandleMessage(f.now, agent, r)
 			}
 		}
 		f.core.Take()
@@ -221,20 +221,20 @@
 	It("is pinged, gets nothing more, and is back when it is heard", func() {
 		f := newFixture(nil)
 		f.granted(1, f.submission(3))
-		f.core.Message(f.now, "a", &wire.Results{})
-		f.core.Message(f.now, "b", &wire.Results{})
+		f.core.HandleMessage(f.now, "a", &wire.Results{})
+		f.core.HandleMessage(f.now, "b", &wire.Results{})
 		f.pass(210 * time.Millisecond)
 		Expect(sent[*wire.Ping](f.core.Take())).To(ConsistOf("a", "b", "c"))
-		f.core.Message(f.now, "a", &wire.Results{})
-		f.core.Message(f.now, "b", &wire.Results{})
+		f.core.HandleMessage(f.now, "a", &wire.Results{})
+		f.core.HandleMessage(f.now, "b", &wire.Results{})
 		f.pass(150 * time.Millisecond)
-		f.core.Message(f.now, "a", &wire.Results{})
-		f.core.Message(f.now, "b", &wire.Results{})
+		f.core.HandleMessage(f.now, "a", &wire.Results{})
+		f.core.HandleMessage(f.now, "b", &wire.Results{})
 		f.pass(100 * time.Millisecond)
 		f.core.Take()
 		Expect(f.seen.counts["suspected: agent"]).To(Equal(1))
 		Expect(f.granted(2, f.submission(4))).NotTo(HaveKey("c"))
-		f.core.Message(f.now, "c", &wire.Results{})
+		f.core.HandleMessage(f.now, "c", &wire.Results{})
 		Expect(f.granted(3, f.submission(4))).To(HaveKey("c"))
 	})
 
@@ -270,13 +270,13 @@
 		Expect(out.Deliveries[0].Answer.Error.Kind).To(Equal("claim_unavailable"))
 		Expect(sent[*wire.Claim](out)).To(Equal([]string{"a"}), "a probe")
 
-		f.core.Message(f.now, "a", &wire.ClaimReply{Seq: m.Seq, Verdict: uint8(claim.Granted), Owner: "e", OwnerIncarnation: "i", GrantSeq: m.Seq})
+		f.core.HandleMessage(f.now, "a", &wire.ClaimReply{Seq: m.Seq, Verdict: uint8(claim.Granted), Owner: "e", OwnerIncarnation: "i", GrantSeq: m.Seq})
 		Expect(places(f.core.Take())).To(BeEmpty(), "a grant that came too late starts nothing")
 		again := *s
 		again.Payloads = [][]byte{[]byte("1")}
 		f.core.Submit(f.now, 3, &again)
 		m2 := f.core.Take().Sends[0].Message.(*wire.Claim)
-		f.core.Message(f.now, "a", &wire.ClaimReply{Seq: m2.Seq, Verdict: uint8(claim.Held), Owner: "e", OwnerIncarnation: "i", GrantSeq: m.Seq})
+		f.core.HandleMessage(f.now, "a", &wire.ClaimReply{Seq: m2.Seq, Verdict: uint8(claim.Held), Owner: "e", OwnerIncarnation: "i", GrantSeq: m.Seq})
 		Expect(places(f.core.Take())).To(HaveLen(1))
 	})
 })
@@ -287,14 +287,14 @@
 		first := f.submission(1)
 		for n, s := range []*job.Submission{first, f.submission(1)} {
 			for agent, m := range f.granted(uint64(n), s) {
-				f.core.Message(f.now, agent, &wire.Results{Items: []wire.Result{{Job: m.Job, Attempt: 1, Body: []byte("7")}}})
+				f.core.HandleMessage(f.now, agent, &wire.Results{Items: []wire.Result{{Job: m.Job, Attempt: 1, Body: []byte("7")}}})
 			}
 		}
 		f.core.Take()
 		again := *first
 		f.core.Submit(f.now, 9, &again)
 		m := f.core.Take().Sends[0].Message.(*wire.Claim)
-		f.core.Message(f.now, "a", &wire.ClaimReply{Seq: m.Seq, Verdict: uint8(claim.Held), Owner: "e", OwnerIncarnation: "i", GrantSeq: 1})
+		f.core.HandleMessage(f.now, "a", &wire.ClaimReply{Seq: m.Seq, Verdict: uint8(claim.Held), Owner: "e", OwnerIncarnation: "i", GrantSeq: 1})
 		out := f.core.Take()
 		Expect(places(out)).To(BeEmpty())
 		Expect(out.Deliveries[0].Answer.Error.Kind).To(Equal("outcome_unknown"))
--- a/submissions/dispatch/peers.go
+++ b/submissions/dispatch/peers.go
@@ -54,15 +54,15 @@
 	}
 }
 
-// ListLeaving records whether the box list calls the agent leaving.
-func (c *Core) ListLeaving(agent string, leaving bool) {
+// SetListedLeaving records whether the box list calls the agent leaving.
+func (c *Core) SetListedLeaving(agent string, leaving bool) {
 	if a := c.agents.Agent(agent); a != nil {
-		a.ListLeaving = leaving
+		a.ListedLeaving = leaving
 	}
 }
 
-// Message takes a message from a peer.
-func (c *Core) Message(now time.Time, peer string, m wire.Message) {
+// HandleMessage takes a message from a peer.
+func (c *Core) HandleMessage(now time.Time, peer string, m wire.Message) {
 	c.hear(now, peer)
 	switch m := m.(type) {
 	case *wire.Results:
@@ -81,8 +81,8 @@
 // results takes all that a message says before any job is failed by it, so
 // that the answer of a failed job knows as much as can be known at once.
 func (c *Core) results(now time.Time, agent string, m *wire.Results) {
-	c.agents.Return(agent, len(m.Items))
-	c.agents.Report(agent, m.Load)
+	c.agents.Release(agent, len(m.Items))
+	c.agents.UpdateLoad(agent, m.Load)
 	c.acknowledgeLeave(agent, m.Load)
 	var ends []ending
 	for i := range m.Items {
@@ -126,7 +126,7 @@
 func (c *Core) result(now time.Time, agent string, m *wire.Result) (e ending, failed bool) {
 	r := c.jobs[m.Job]
 	i := int(m.Index)
-	if r == nil || !r.job.Holds(i, agent, int(m.Attempt)) {
+	if r == nil || !r.job.AwaitsResult(i, agent, int(m.Attempt)) {
 		c.count.Dropped(dropLateResult)
 		return ending{}, false
 	}
--- a/submissions/dispatch/place.go
+++ b/submissions/dispatch/place.go
@@ -54,7 +54,7 @@
 
 func (c *Core) unplace(byAgent map[string][]int) {
 	for agent, indexes := range byAgent {
-		c.agents.Return(agent, len(indexes)) // the order does not matter
+		c.agents.Release(agent, len(indexes)) // the order does not matter
 	}
 }
 
@@ -71,7 +71,7 @@
 			final = append(final, i)
 		}
 	}
-	limit := uint32(c.agents.Ahead(agent) + c.set.Slack)
+	limit := uint32(c.agents.EstimatedQueue(agent) + c.set.Slack)
 	c.sendTasks(now, r, agent, limited, limit)
 	c.sendTasks(now, r, agent, final, wire.NoQueueLimit)
 }
--- a/submissions/dispatch/submit.go
+++ b/submissions/dispatch/submit.go
@@ -98,7 +98,7 @@
 		return nil // placing it will tell
 	}
 	wait := p.Wait(n)
-	if wait <= c.set.MaxWait && now.Add(wait+p.Run).Before(s.Deadline) && !p.Full(n) {
+	if wait <= c.set.MaxWait && now.Add(wait+p.MeanRun).Before(s.Deadline) && !p.Full(n) {
 		return nil
 	}
 	return c.overloaded("the pool is too busy for the job to be done in time", c.spread(wait-c.set.MaxWait/2))
--- a/submissions/dispatch/world_test.go
+++ b/submissions/dispatch/world_test.go
@@ -151,7 +151,7 @@
 	a.inc = w.incarnation()
 	a.offset = w.drawOffset()
 	a.paused, a.left, a.running = false, false, nil
-	a.queue = queue.New(queue.Limits{Slots: 2, Queue: 2, Remember: 1000, Window: window, ClockBound: clockBound, Hold: 10 * time.Millisecond}, w.seen)
+	a.queue = queue.New(queue.Limits{Slots: 2, Queue: 2, MaxRemembered: 1000, Window: window, ClockBound: clockBound, Hold: 10 * time.Millisecond}, w.seen)
 	limits := claim.Limits{Entries: 2, Window: window, ClockBound: clockBound}
 	a.holder = claim.Holder{Table: claim.New(w.agentNow(a), limits), Assignment: claim.Assignment(w.holders)}
 }
@@ -273,7 +273,7 @@
 	if end {
 		e.core.PeerDown(w.entryNow(e), c.inName)
 	} else {
-		e.core.Message(w.entryNow(e), c.inName, m)
+		e.core.HandleMessage(w.entryNow(e), c.inName, m)
 	}
 	w.flushEntry(e)
 }
@@ -304,7 +304,7 @@
 		delete(e.conns, c.peer)
 		e.core.PeerDown(w.entryNow(e), c.peer)
 	} else {
-		e.core.Message(w.entryNow(e), c.peer, m)
+		e.core.HandleMessage(w.entryNow(e), c.peer, m)
 	}
 	w.flushEntry(e)
 }
--- a/submissions/entry/control.go
+++ b/submissions/entry/control.go
@@ -56,7 +56,7 @@
 	case evUp:
 		e.linkUp(now, ev)
 	case evMessage:
-		e.core.Message(now, ev.peer, ev.message)
+		e.core.HandleMessage(now, ev.peer, ev.message)
 	case evDown:
 		e.linkDown(now, ev)
 	case evSubmit:
@@ -85,9 +85,9 @@
 		e.links[ev.peer] = l
 	}
 	l.conn = ev.conn
-	e.view.Connected(now, ev.peer, true)
+	e.view.SetConnected(now, ev.peer, true)
 	e.core.PeerUp(now, ev.peer, ev.hello)
-	e.core.ListLeaving(ev.peer, e.view.LeavingListed(ev.peer))
+	e.core.SetListedLeaving(ev.peer, e.view.ListedLeaving(ev.peer))
 	e.log.Info("peer connected", zap.String("peer", ev.peer), zap.String("box", ev.hello.Box))
 }
 
@@ -100,7 +100,7 @@
 	if ev.inbound() {
 		delete(e.links, ev.peer)
 	}
-	e.view.Connected(now, ev.peer, false)
+	e.view.SetConnected(now, ev.peer, false)
 	e.core.PeerDown(now, ev.peer)
 	e.log.Info("peer lost", zap.String("peer", ev.peer), zap.Error(ev.err))
 }
--- a/submissions/entry/entry.go
+++ b/submissions/entry/entry.go
@@ -172,7 +172,7 @@
 func policyOf(p config.Placement) placement.Policy {
 	return placement.Policy{
 		Choices:  p.Choices,
-		Outliers: placement.OutlierSettings{Worse: p.Worse, Share: p.WorseShare, Trickle: p.Trickle},
+		Outliers: placement.OutlierSettings{SlowFactor: p.Worse, MaxShare: p.WorseShare, TrickleShare: p.Trickle},
 	}
 }
 
--- a/submissions/entry/links.go
+++ b/submissions/entry/links.go
@@ -118,10 +118,10 @@
 	for _, addr := range change.Dial {
 		e.dial(addr)
 	}
-	for _, addr := range change.Leave {
-		e.core.ListLeaving(addr, true)
+	for _, addr := range change.Leaving {
+		e.core.SetListedLeaving(addr, true)
 	}
-	for _, addr := range change.Stay {
-		e.core.ListLeaving(addr, false)
+	for _, addr := range change.NotLeaving {
+		e.core.SetListedLeaving(addr, false)
 	}
 }
--- a/submissions/entry/state.go
+++ b/submissions/entry/state.go
@@ -72,7 +72,7 @@
 		Pool:        a.Pool,
 		DataCentre:  a.DataCentre,
 		Connected:   true,
-		Leaving:     a.Leaving || a.ListLeaving,
+		Leaving:     a.Leaving || a.ListedLeaving,
 		Slots:       a.Slots,
 		Outstanding: a.Outstanding,
 	}
@@ -83,7 +83,7 @@
 	for _, pool := range e.cfg.Jobs.Pools {
 		usable := false
 		for _, a := range e.core.Agents().Pool(pool) {
-			usable = usable || !a.Leaving && !a.ListLeaving
+			usable = usable || !a.Leaving && !a.ListedLeaving
 		}
 		if !usable {
 			return false
--- a/submissions/job/job.go
+++ b/submissions/job/job.go
@@ -59,9 +59,9 @@
 	t.Attempts++
 }
 
-// Holds returns whether the task is placed at the agent by that attempt. A
+// AwaitsResult returns whether the task is placed at the agent by that attempt. A
 // result of anything else is late, crossed or repeated, and must be dropped.
-func (j *Job) Holds(i int, agent string, attempt int) bool {
+func (j *Job) AwaitsResult(i int, agent string, attempt int) bool {
 	if i < 0 || i >= len(j.Tasks) {
 		return false
 	}
--- a/submissions/membership/view.go
+++ b/submissions/membership/view.go
@@ -9,10 +9,10 @@
 
 // Change is what follows from a reading of the box list.
 type Change struct {
-	Dial  []string // agents to connect to
-	Leave []string // agents that the list calls leaving
-	Stay  []string // agents that the list no longer calls leaving
-	Drop  []string // agents to give up
+	Dial       []string // agents to connect to
+	Leaving    []string // agents that the list calls leaving
+	NotLeaving []string // agents that the list no longer calls leaving
+	Drop       []string // agents to give up
 }
 
 // View is what one entry knows. It is not safe for use by several goroutines.
@@ -54,8 +54,8 @@
 	return out
 }
 
-// Connected records that a connection to the agent was made or lost.
-func (v *View) Connected(now time.Time, agent string, up bool) {
+// SetConnected records that a connection to the agent was made or lost.
+func (v *View) SetConnected(now time.Time, agent string, up bool) {
 	m := v.known[agent]
 	if m == nil {
 		return
@@ -94,16 +94,16 @@
 	}
 	m.listed = true
 	if b.State == Leaving && !m.leaving {
-		c.Leave = append(c.Leave, b.Address)
+		c.Leaving = append(c.Leaving, b.Address)
 	}
 	if b.State != Leaving && m.leaving {
-		c.Stay = append(c.Stay, b.Address)
+		c.NotLeaving = append(c.NotLeaving, b.Address)
 	}
 	m.leaving = b.State == Leaving
 }
 
-// LeavingListed returns whether the newest list calls the agent leaving.
-func (v *View) LeavingListed(agent string) bool {
+// ListedLeaving returns whether the newest list calls the agent leaving.
+func (v *View) ListedLeaving(agent string) bool {
 	m := v.known[agent]
 	return m != nil && m.leaving
 }
--- a/submissions/membership/view_test.go
+++ b/submissions/membership/view_test.go
@@ -41,27 +41,27 @@
 		_, ok = v.Apply(now, list(6))
 		Expect(ok).To(BeFalse())
 		Expect(v.Version()).To(Equal(uint64(5)))
-		Expect(v.LeavingListed("a")).To(BeFalse())
+		Expect(v.ListedLeaving("a")).To(BeFalse())
 	})
 
 	It("says once that a box leaves, and once that it stays after all", func() {
 		_, _ = v.Apply(now, list(1, live("a")))
 		c, _ := v.Apply(now, list(2, leaving("a")))
-		Expect(c.Leave).To(ConsistOf("a"))
+		Expect(c.Leaving).To(ConsistOf("a"))
 		c, _ = v.Apply(now, list(3, leaving("a")))
-		Expect(c.Leave).To(BeEmpty())
+		Expect(c.Leaving).To(BeEmpty())
 		c, _ = v.Apply(now, list(4, live("a")))
-		Expect(c.Stay).To(ConsistOf("a"))
+		Expect(c.NotLeaving).To(ConsistOf("a"))
 	})
 
 	It("keeps a box that the list loses while it is connected, or only for a reading", func() {
 		_, _ = v.Apply(now, list(1, live("a"), live("b")))
-		v.Connected(now, "a", true)
+		v.SetConnected(now, "a", true)
 		_, _ = v.Apply(now, list(2, live("c")))
 		Expect(v.Expire(now.Add(absent - time.Second)).Drop).To(BeEmpty())
 		_, _ = v.Apply(now.Add(absent), list(3, live("b"), live("c")))
 		Expect(v.Expire(now.Add(2 * absent)).Drop).To(BeEmpty())
-		v.Connected(now.Add(2*absent), "a", false)
+		v.SetConnected(now.Add(2*absent), "a", false)
 		Expect(v.Expire(now.Add(3 * absent)).Drop).To(ConsistOf("a"))
 	})
 
--- a/submissions/placement/outliers.go
+++ b/submissions/placement/outliers.go
@@ -12,14 +12,14 @@
 
 // OutlierSettings holds the settings of this.
 type OutlierSettings struct {
-	// Worse is how many times as slow as the median of its pool an agent must
+	// SlowFactor is how many times as slow as the median of its pool an agent must
 	// be to be held back; zero detects none.
-	Worse float64
-	// Share is how many of a pool's agents may be held back. When more seem
+	SlowFactor float64
+	// MaxShare is how many of a pool's agents may be held back. When more seem
 	// bad, it is the view that is wrong, and none is.
-	Share float64
-	// Trickle is the share of tasks that go to agents held back.
-	Trickle float64
+	MaxShare float64
+	// TrickleShare is the share of tasks that go to agents held back.
+	TrickleShare float64
 }
 
 // Bounds of outlier detection.
@@ -63,7 +63,7 @@
 
 // DetectOutliers compares the agents of each pool, every so often.
 func (s *Set) DetectOutliers(now time.Time) {
-	if s.policy.Outliers.Worse == 0 || now.Sub(s.detectedAt) < detectEvery {
+	if s.policy.Outliers.SlowFactor == 0 || now.Sub(s.detectedAt) < detectEvery {
 		return
 	}
 	s.detectedAt = now
@@ -83,7 +83,7 @@
 			bad++
 		}
 	}
-	trusted := float64(bad) <= s.policy.Outliers.Share*float64(len(pool))
+	trusted := float64(bad) <= s.policy.Outliers.MaxShare*float64(len(pool))
 	for i, a := range pool {
 		a.seen.factor = 1
 		if trusted {
@@ -103,7 +103,7 @@
 	if a.seen.failed > failed+failShare {
 		return failFactor
 	}
-	if run > 0 && a.seen.run > s.policy.Outliers.Worse*run {
+	if run > 0 && a.seen.run > s.policy.Outliers.SlowFactor*run {
 		return min(a.seen.run/run, worstFactor)
 	}
 	return 1
@@ -125,7 +125,7 @@
 
 // trickle returns an agent that is held back, now and then; else nil.
 func (s *Set) trickle(agents []*Agent, avoid []string) *Agent {
-	if s.policy.Outliers.Worse == 0 || s.rng.Float64() >= s.policy.Outliers.Trickle {
+	if s.policy.Outliers.SlowFactor == 0 || s.rng.Float64() >= s.policy.Outliers.TrickleShare {
 		return nil
 	}
 	for _, a := range agents {
@@ -136,9 +136,9 @@
 	return nil
 }
 
-// HeldBack returns the number of agents that count as more loaded than they
+// Outliers returns the number of agents that count as more loaded than they
 // are.
-func (s *Set) HeldBack() int {
+func (s *Set) Outliers() int {
 	n := 0
 	for _, a := range s.all {
 		if a.seen.factor > 1 {
--- a/submissions/placement/placement.go
+++ b/submissions/placement/placement.go
@@ -13,15 +13,15 @@
 
 // Agent is what an entry knows of one agent.
 type Agent struct {
-	ID          string // address
-	Pool        string
-	DataCentre  string
-	Slots       int
-	Queue       int  // tasks that may wait there
-	Leaving     bool // says so itself; for good
-	ListLeaving bool // the platform's box list says so
-	Silent      bool // does not answer
-	Outstanding int  // tasks placed by this entry and not answered
+	ID            string // address
+	Pool          string
+	DataCentre    string
+	Slots         int
+	Queue         int  // tasks that may wait there
+	Leaving       bool // says so itself; for good
+	ListedLeaving bool // the platform's box list says so
+	Silent        bool // does not answer
+	Outstanding   int  // tasks placed by this entry and not answered
 
 	others int // tasks of other entries, as last reported
 	seen   seen
@@ -110,8 +110,8 @@
 // Pool returns the agents of a pool, which the caller must not change.
 func (s *Set) Pool(pool string) []*Agent { return s.pools[pool] }
 
-// Report takes an agent's own word on its load.
-func (s *Set) Report(id string, l wire.Load) {
+// UpdateLoad takes an agent's own word on its load.
+func (s *Set) UpdateLoad(id string, l wire.Load) {
 	a := s.byID[id]
 	if a == nil {
 		return
@@ -120,9 +120,9 @@
 	a.Leaving = a.Leaving || l.Leaving
 }
 
-// Ahead returns how many tasks are thought to wait at the agent, those counted
+// EstimatedQueue returns how many tasks are thought to wait at the agent, those counted
 // as placed there included.
-func (s *Set) Ahead(id string) int {
+func (s *Set) EstimatedQueue(id string) int {
 	a := s.byID[id]
 	if a == nil {
 		return 0
@@ -147,8 +147,8 @@
 	return best
 }
 
-// Return takes back n tasks counted as placed at the agent.
-func (s *Set) Return(id string, n int) {
+// Release takes back n tasks counted as placed at the agent.
+func (s *Set) Release(id string, n int) {
 	if a := s.byID[id]; a != nil {
 		a.Outstanding = max(0, a.Outstanding-n)
 	}
@@ -189,7 +189,7 @@
 }
 
 func usable(a *Agent, avoid []string) bool {
-	if a.Leaving || a.ListLeaving || a.Silent {
+	if a.Leaving || a.ListedLeaving || a.Silent {
 		return false
 	}
 	return !slices.Contains(avoid, a.ID)
--- a/submissions/placement/placement_test.go
+++ b/submissions/placement/placement_test.go
@@ -57,18 +57,18 @@
 
 	It("adds other entries' tasks to its own, and not its own twice", func() {
 		s := newSet(0, 2)
-		s.Report("0", wire.Load{Queued: 2, Running: 8, Mine: 4, Slots: 8})
+		s.UpdateLoad("0", wire.Load{Queued: 2, Running: 8, Mine: 4, Slots: 8})
 		for range 6 {
 			Expect(s.Pick("p", nil).ID).To(Equal("1"))
 		}
 		Expect(s.Agent("1").Outstanding).To(Equal(6))
-		s.Return("1", 6)
+		s.Release("1", 6)
 		Expect(s.Agent("1").Outstanding).To(BeZero())
 	})
 
 	It("avoids agents that leave, are silent, or have refused the task", func() {
 		s := newSet(2, 4)
-		s.Report("0", wire.Load{Leaving: true})
+		s.UpdateLoad("0", wire.Load{Leaving: true})
 		s.Agent("1").Silent = true
 		for range 20 {
 			Expect(s.Pick("p", []string{"2"}).ID).To(Equal("3"))
@@ -82,7 +82,7 @@
 })
 
 var _ = Describe("a bad backend server (hazards 18 and 19)", func() {
-	judging := placement.OutlierSettings{Worse: 3, Share: 0.4, Trickle: 0.01}
+	judging := placement.OutlierSettings{SlowFactor: 3, MaxShare: 0.4, TrickleShare: 0.01}
 	var s *placement.Set
 	now := time.Unix(1_800_000_000, 0)
 	BeforeEach(func() {
@@ -97,7 +97,7 @@
 		got := 0
 		for range n {
 			a := s.Pick("p", nil)
-			s.Return(a.ID, 1)
+			s.Release(a.ID, 1)
 			if a.ID == "0" {
 				got++
 				s.Observe(a.ID, run, failed)
@@ -112,10 +112,10 @@
 
 	It("that straggles gets a trickle, and its share again when it is well", func() {
 		share(500, 500*time.Millisecond, false)
-		Expect(s.HeldBack()).To(Equal(1))
+		Expect(s.Outliers()).To(Equal(1))
 		Expect(share(2000, 500*time.Millisecond, false)).To(BeNumerically("<", 0.02))
 		share(6000, 50*time.Millisecond, false)
-		Expect(s.HeldBack()).To(BeZero())
+		Expect(s.Outliers()).To(BeZero())
 		Expect(share(2000, 50*time.Millisecond, false)).To(BeNumerically(">", 0.05))
 	})
 
@@ -135,6 +135,6 @@
 			}
 		}
 		s.DetectOutliers(now.Add(time.Hour))
-		Expect(s.HeldBack()).To(BeZero())
+		Expect(s.Outliers()).To(BeZero())
 	})
 })
--- a/submissions/queue/queue.go
+++ b/submissions/queue/queue.go
@@ -56,18 +56,18 @@
 
 // Limits bounds what the agent holds.
 type Limits struct {
-	Slots    int           // tasks running at once
-	Queue    int           // tasks waiting
-	Remember int           // past tasks remembered, so that none starts twice
-	Window   time.Duration // how long a past task is remembered
+	Slots         int           // tasks running at once
+	Queue         int           // tasks waiting
+	MaxRemembered int           // past tasks remembered, so that none starts twice
+	Window        time.Duration // how long a past task is remembered
 	// ClockBound is the greatest difference to an entry's clock.
 	ClockBound time.Duration
 	// Hold is how long an answer may wait for those of the same job's other
 	// tasks here, without which the job cannot be answered anyway.
 	Hold time.Duration
-	// InOrder serves tasks as they came, in place of workspaces in turn and small jobs
+	// FIFO serves tasks as they came, in place of workspaces in turn and small jobs
 	// first.
-	InOrder bool
+	FIFO bool
 }
 
 // Report is a result for one link.
@@ -134,11 +134,11 @@
 	return &Queue{
 		limits:  l,
 		assert:  a,
-		waiting: fair{inOrder: l.InOrder},
+		waiting: fair{inOrder: l.FIFO},
 		tasks:   make(map[Key]*Task),
 		links:   make(map[Link]*linkState),
 		jobs:    make(map[jobKey]*jobState),
-		seen:    newMemory(l.Remember, l.Window),
+		seen:    newMemory(l.MaxRemembered, l.Window),
 	}
 }
 
--- a/submissions/queue/queue_test.go
+++ b/submissions/queue/queue_test.go
@@ -30,7 +30,7 @@
 	var q *queue.Queue
 	var now time.Time
 	var seq uint64
-	limits := queue.Limits{Slots: 2, Queue: 2, Remember: 100, Window: time.Minute, ClockBound: 100 * time.Millisecond}
+	limits := queue.Limits{Slots: 2, Queue: 2, MaxRemembered: 100, Window: time.Minute, ClockBound: 100 * time.Millisecond}
 	BeforeEach(func() {
 		q = queue.New(limits, panics{})
 		now = time.Unix(1_800_000_000, 0)
@@ -132,7 +132,7 @@
 				}
 			}
 		}
-		l := queue.Limits{Slots: 1, Queue: 100, Remember: 100, Window: time.Hour}
+		l := queue.Limits{Slots: 1, Queue: 100, MaxRemembered: 100, Window: time.Hour}
 		q = queue.New(l, panics{})
 		add(1, "a", 4)
 		add(2, "a", 1)
@@ -143,7 +143,7 @@
 		now = now.Add(100 * time.Millisecond)
 		add(6, "a", 1)
 		Expect(order()).To(Equal([]uint64{5, 5, 5, 5, 6}), "a job is overtaken no longer than its handicap")
-		l.InOrder = true
+		l.FIFO = true
 		q = queue.New(l, panics{})
 		add(1, "a", 4)
 		add(2, "a", 1)
@@ -152,7 +152,7 @@
 	})
 
 	It("sends the answers of a job together, the last one and a failure at once", func() {
-		q = queue.New(queue.Limits{Slots: 9, Queue: 9, Remember: 100, Window: time.Minute, Hold: 10 * time.Millisecond}, panics{})
+		q = queue.New(queue.Limits{Slots: 9, Queue: 9, MaxRemembered: 100, Window: time.Minute, Hold: 10 * time.Millisecond}, panics{})
 		place(1, "s@1", time.Minute, 0, 1, 2, 3)
 		started := q.Take(now).Start
 		done := func(i int, k failure.Kind) []failure.Kind {
@@ -223,7 +223,7 @@
 	})
 
 	It("remembers past tasks within its bounds", func() {
-		q = queue.New(queue.Limits{Slots: 10, Queue: 10, Remember: 2, Window: time.Minute}, panics{})
+		q = queue.New(queue.Limits{Slots: 10, Queue: 10, MaxRemembered: 2, Window: time.Minute}, panics{})
 		for i, s := range []string{"a@1", "b@1", "c@1"} {
 			place(queue.Link(i), s, time.Minute, 0)
 			q.Take(now)
