--- a/submissions/dispatch/bench_test.go
+++ b/submissions/dispatch/bench_test.go
@@ -13,8 +13,9 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// BenchmarkJobOf20 takes a job of 20 tasks from its submission to its answer,
-// with 960 agents, looking at all of them or at two for each task.
+// BenchmarkJobOf20 runs a job of 20 tasks from its submission to its answer
+// with 960 agents. Choices of 0 uses the default number of agents drawn for a
+// task, 2 draws two.
 func BenchmarkJobOf20(b *testing.B) {
 	for _, choices := range []int{0, 2} {
 		b.Run(fmt.Sprintf("choices=%d", choices), func(b *testing.B) {
--- a/submissions/dispatch/core.go
+++ b/submissions/dispatch/core.go
@@ -1,11 +1,15 @@
-// Package dispatch is the core of an entry: from a submission to its answer.
-// It claims each submission at the holder of its ID, places the tasks, retries
-// those that certainly did not run, and answers everyone who asked. It does no
-// I/O: events come in with the present time, effects are taken out.
+// Package dispatch is the core of an entry: it takes a submission from its
+// arrival to its answer. It claims the submission at the holder of its ID,
+// places the tasks on agents, retries tasks that certainly did not run, and
+// answers every caller that sent the submission. It owns the state of the
+// submissions at this entry and does no I/O: its caller passes in events with
+// the current time and carries out the effects that Take returns. It relies on
+// package claim for the choice of the holder, on package placement for the
+// choice of agents and on package job for the state of a single job.
 //
-// A submission has one outcome for good. An answer that says "not run" is
-// given only for a submission that this entry was granted and will not start
-// any more, or that was never granted to it and is malformed in every copy.
+// The outcome of a submission is final. An answer says "not run" only for a
+// submission that was granted to this entry and that it will never start, or
+// for one that was never granted to it and is malformed in every duplicate.
 package dispatch
 
 import (
@@ -20,72 +24,73 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// Settings are the decisions that the operators make.
+// Settings is the part of the configuration that the core uses.
 type Settings struct {
 	Self        claim.Owner // this entry's address for its peers, and its incarnation
 	Holders     []string    // the agents that hold claims, the same list everywhere
 	Workspaces  []string
 	Pools       []string
-	MaxTasks    int           // tasks of unfinished jobs, at most
-	MaxWait     time.Duration // of a new job's last task for a slot, by our knowledge
-	MaxClaims   int           // claims asked and not answered, at most
-	ClaimWait   time.Duration // for the holder's answer to a claim
-	FetchWait   time.Duration // for a link to another entry
-	PingAfter   time.Duration // without a word of an agent that holds tasks
-	PingWait    time.Duration // for its answer, before it counts as silent
-	SilentShare float64       // of the agents that may be silent before we suspect ourselves
-	Grace       time.Duration // after a deadline, for the agents' own word on it
-	Attempts    int           // at placing a task, the first one included
-	Bounces     int           // times that a task may be handed back as busy
-	Slack       int           // tasks that an agent may hold beyond what we think, before it is busy
-	RetryRatio  float64       // retries for each first attempt
-	RetryBurst  float64       // retries that may be saved up
-	Backoff     retry.Backoff // before the second and later retries of a task
-	KeepAnswers int           // answers kept for resends
-	KeepBytes   int           // bytes of those answers
+	MaxTasks    int           // limit on the tasks of unfinished jobs
+	MaxWait     time.Duration // limit on the estimated time that the last task of a new job waits for a slot
+	MaxClaims   int           // limit on claims that are not answered yet
+	ClaimWait   time.Duration // timeout of a claim
+	FetchWait   time.Duration // timeout for a connection to another entry
+	PingAfter   time.Duration // time without a message from an agent that holds tasks, after which it is pinged
+	PingWait    time.Duration // time after a ping without a message, after which the peer counts as silent
+	SilentShare float64       // share of agents that may be silent; above it the entry suspects itself
+	Grace       time.Duration // time after a deadline in which the agents may still report their results
+	Attempts    int           // limit on the attempts at placing a task, the first one included
+	Bounces     int           // limit on how often a task may be handed back as busy
+	Slack       int           // tasks by which an agent's queue may exceed the estimate before the agent hands tasks back
+	RetryRatio  float64       // retries earned by each first attempt
+	RetryBurst  float64       // limit on earned retries that are not spent yet
+	Backoff     retry.Backoff // delay before the second and later retries of a task
+	KeepAnswers int           // limit on the answers kept for resent calls
+	KeepBytes   int           // limit on the bytes of those answers
 	KeepFor     time.Duration // how long they are kept
-	MaxFetched  int           // bytes of an answer passed on to another entry
+	MaxFetched  int           // limit on the bytes of an answer sent to another entry
 	Policy      placement.Policy
 }
 
-// Waiter is whoever waits for an answer: a caller of this entry, or another
-// entry that asks on behalf of one of its own.
+// Waiter is a receiver of an answer: a caller of this entry or, where Peer is
+// set, another entry that fetches the answer for one of its own callers.
 type Waiter struct {
-	Caller uint64 // when Peer is empty
+	Caller uint64 // set when Peer is empty
 	Peer   string
-	Seq    uint64
+	Seq    uint64 // of the peer's wire.Fetch
 }
 
-// Send is a message to be sent to a peer.
+// Send is a message to send to a peer.
 type Send struct {
 	Peer    string
 	Message wire.Message
 }
 
-// Delivery is an answer to be handed to a caller.
+// Delivery is an answer to return to a caller.
 type Delivery struct {
 	Caller uint64
 	Answer *job.Answer
 }
 
-// Effects is what the caller of the core has to do after events.
+// Effects lists what the caller of the core has to do after events, each list
+// in the order in which it is to be done.
 type Effects struct {
 	Dials      []string // peers to connect to
 	Sends      []Send
 	Deliveries []Delivery
 }
 
-// Counter counts what the core decides.
+// Counter counts the decisions of the core.
 type Counter interface {
 	Answered(k failure.Kind)                     // a final answer to a caller; None for a complete one
 	Refused(k failure.Kind)                      // a task refused or failed by an agent
 	Retried(k failure.Kind)                      // a task placed again after that
-	Claimed(v claim.Verdict, took time.Duration) // a holder's answer
-	Dropped(reason string)                       // a message that came too late or twice; one of DropReasons
-	Violated(promise string)                     // a promise of the program found broken; one of Promises
-	Resent(found string)                         // a copy of a known submission: "running" or "answered"
+	Claimed(v claim.Verdict, took time.Duration) // a holder's reply to a claim
+	Dropped(reason string)                       // a late, repeated or unexpected message; one of DropReasons
+	Violated(promise string)                     // a violated promise; one of Promises
+	Resent(found string)                         // a resent call for a submission that is "running" or "answered"
 	Placed(n int)                                // tasks sent to an agent
-	Suspected(who string)                        // a silent "agent", or "self" when too many are
+	Suspected(who string)                        // "agent" for a silent agent, "self" when too many are silent
 }
 
 // The reasons for dropping a message.
@@ -101,7 +106,7 @@
 	return []string{dropLateClaimReply, dropLateFetched, dropLateResult, dropNotForEntry}
 }
 
-// The promises that are asserted while the program runs.
+// The promises to callers that are asserted at run time.
 const (
 	promiseOwnAnswer   = "answer_of_another_submission"
 	promiseWholeAnswer = "half_answer"
@@ -114,48 +119,47 @@
 	return []string{promiseOwnAnswer, promiseWholeAnswer, promiseNotRun, promiseJSON}
 }
 
-// Core is the state of one entry. It is not safe for use by several
-// goroutines.
+// Core is the state of one entry. It is not safe for concurrent use.
 type Core struct {
-	set        Settings
-	count      Counter
-	rng        *rand.Rand
-	agents     *placement.Set
-	budget     retry.Budget
-	workspaces map[string]bool
-	pools      map[string]bool
-	digest     uint64 // of the list of holders
-	peers      map[string]*peerState
-	records    map[string]*record
-	kept       keeper
-	jobs       map[uint64]*record
-	claims     map[uint64]*pending
-	fetches    map[uint64]*pending
-	later      []delayed
-	running    int // tasks of unfinished jobs
-	rate       meter
-	watched    time.Time // when silent agents were last looked for
-	silent     int       // agents out of use for their silence
-	lastJob    uint64
-	lastSeq    uint64
-	stop       bool
-	out        Effects
-}
-
-// peerState is what is known of a connected peer as such, whatever its role.
+	cfg              Settings
+	count            Counter
+	rng              *rand.Rand
+	agents           *placement.Set
+	budget           retry.Budget
+	workspaces       map[string]bool
+	pools            map[string]bool
+	digest           uint64 // digest of the list of holders
+	peers            map[string]*peerState
+	records          map[string]*record
+	kept             keptRecords
+	jobs             map[uint64]*record
+	claims           map[uint64]*pendingRequest
+	fetches          map[uint64]*pendingRequest
+	delayed          []delayedTask
+	running          int // number of tasks of unfinished jobs
+	rate             rateMeter
+	silenceCheckedAt time.Time // time of the last check for silent agents
+	silent           int       // number of agents that get no work because they are silent
+	lastJob          uint64
+	lastSeq          uint64
+	stopping         bool
+	out              Effects
+}
+
+// peerState is the state of a connected peer of any role.
 type peerState struct {
 	incarnation string
-	silent      bool // did not answer in time, and was not heard since
-	heard       time.Time
-	pinged      time.Time // zero when no answer is waited for
-	leaving     bool      // has said so, and was answered
+	silent      bool // missed a timeout, and has sent nothing since
+	lastHeard   time.Time
+	pingedAt    time.Time // zero when no ping is unanswered
+	leaveAcked  bool      // the agent announced that it is leaving, and got wire.LeaveAck
 }
 
-// New returns the core of an entry that starts now. rng makes its random
-// choices.
+// New returns the core of an entry that starts now; rng is the source of its
+// random choices.
 func New(s Settings, c Counter, rng *rand.Rand) *Core {
 	return &Core{
-		set:        s,
+		cfg:        s,
 		count:      c,
 		rng:        rng,
 		agents:     placement.New(s.Policy, rng),
@@ -165,10 +169,10 @@
 		digest:     claim.Assignment(s.Holders),
 		peers:      make(map[string]*peerState),
 		records:    make(map[string]*record),
-		kept:       newKeeper(),
+		kept:       newKeptRecords(),
 		jobs:       make(map[uint64]*record),
-		claims:     make(map[uint64]*pending),
-		fetches:    make(map[uint64]*pending),
+		claims:     make(map[uint64]*pendingRequest),
+		fetches:    make(map[uint64]*pendingRequest),
 	}
 }
 
@@ -180,37 +184,37 @@
 	return set
 }
 
-// Take returns what has to be done since the last call.
+// Take returns the effects of all events since the last call.
 func (c *Core) Take() Effects {
 	out := c.out
 	c.out = Effects{}
 	return out
 }
 
-// Agents returns the agents that can be reached.
+// Agents returns the connected agents.
 func (c *Core) Agents() *placement.Set { return c.agents }
 
 // Running returns the number of unfinished jobs and of their tasks.
 func (c *Core) Running() (jobs, tasks int) { return len(c.jobs), c.running }
 
-// Stop makes the core refuse new submissions; those it has go on.
-func (c *Core) Stop() { c.stop = true }
+// Stop makes the core refuse new submissions. Those it has are finished.
+func (c *Core) Stop() { c.stopping = true }
 
-// Idle returns whether nobody waits for anything from this entry.
+// Idle returns whether no job runs and no claim or fetch is pending.
 func (c *Core) Idle() bool {
 	return len(c.jobs) == 0 && len(c.claims) == 0 && len(c.fetches) == 0
 }
 
-// Tick does what is due at this time. It should be called every few
-// milliseconds.
+// Tick handles the timeouts and retries that are due at now. It should be
+// called every few milliseconds.
 func (c *Core) Tick(now time.Time) {
 	c.expireClaims(now)
 	c.expireFetches(now)
 	c.expireJobs(now)
-	c.placeDue(now)
-	c.watch(now)
+	c.placeDelayed(now)
+	c.checkSilence(now)
 	c.agents.DetectOutliers(now)
-	c.forget(now)
+	c.expireKept(now)
 	c.rate.roll(now)
 }
 
--- a/submissions/dispatch/dispatch_test.go
+++ b/submissions/dispatch/dispatch_test.go
@@ -23,17 +23,18 @@
 	RunSpecs(t, "dispatch")
 }
 
-// fixture is a core with agents a, b, c of which a holds all claims.
+// fixture is a core that is connected to agents a, b and c, of which a holds
+// all claims.
 type fixture struct {
 	core     *dispatch.Core
-	seen     *tally
+	events   *tally
 	now      time.Time
 	n        int
-	answered map[uint64]*job.Answer // by the time their claim was granted
+	answered map[uint64]*job.Answer // answers that callers got at the moment their claim was granted
 }
 
 func newFixture(change func(*dispatch.Settings)) *fixture {
-	f := &fixture{seen: &tally{counts: make(map[string]int)}, now: time.Unix(1_800_000_000, 0), answered: make(map[uint64]*job.Answer)}
+	f := &fixture{events: &tally{counts: make(map[string]int)}, now: time.Unix(1_800_000_000, 0), answered: make(map[uint64]*job.Answer)}
 	s := dispatch.Settings{
 		Self: claim.Owner{Address: "e", Incarnation: "i"}, Holders: []string{"a"}, Workspaces: []string{"t"}, Pools: []string{"p"},
 		MaxTasks: 1000, MaxWait: time.Second, MaxClaims: 10, ClaimWait: 100 * time.Millisecond, FetchWait: 100 * time.Millisecond, Grace: 10 * time.Millisecond,
@@ -44,7 +45,7 @@
 	if change != nil {
 		change(&s)
 	}
-	f.core = dispatch.New(s, f.seen, rand.New(rand.NewPCG(1, 1)))
+	f.core = dispatch.New(s, f.events, rand.New(rand.NewPCG(1, 1)))
 	for _, a := range []string{"a", "b", "c"} {
 		f.core.PeerUp(f.now, a, &wire.Hello{Role: wire.RoleAgent, Pool: "p", Slots: 8, Queue: 256})
 	}
@@ -61,7 +62,7 @@
 	return s
 }
 
-// granted submits and has the claim granted; it returns what is placed where.
+// granted submits s and grants its claim. It returns the placed tasks by agent.
 func (f *fixture) granted(caller uint64, s *job.Submission) map[string]*wire.Place {
 	GinkgoHelper()
 	f.core.Submit(f.now, caller, s)
@@ -94,7 +95,7 @@
 	return r
 }
 
-func (f *fixture) pass(d time.Duration) {
+func (f *fixture) advance(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(10 * time.Millisecond)
 		f.core.Tick(f.now)
@@ -110,8 +111,8 @@
 	return peers
 }
 
-var _ = Describe("retries of what did not run", func() {
-	It("go to other agents, and end with the attempts", func() {
+var _ = Describe("retries of tasks that did not run", func() {
+	It("go to other agents, until the attempts are used up", func() {
 		f := newFixture(nil)
 		at := f.granted(1, f.submission(1))
 		var tried []string
@@ -121,7 +122,7 @@
 				tried = append(tried, agent)
 				f.core.HandleMessage(f.now, agent, refusal(m, failure.QueueFull))
 			}
-			f.pass(20 * time.Millisecond)
+			f.advance(20 * time.Millisecond)
 			out := f.core.Take()
 			at = places(out)
 			if len(tried) == 3 {
@@ -135,11 +136,11 @@
 	})
 
 	It("are bounded by the retry budget (hazard 17)", func() {
-		f := newFixture(nil) // two retries in stock, and none earned
+		f := newFixture(nil) // a burst of two retries, and none earned
 		for agent, m := range f.granted(1, f.submission(2)) {
 			f.core.HandleMessage(f.now, agent, refusal(m, failure.QueueFull))
 		}
-		Expect(f.seen.counts["retry: queue_full"]).To(Equal(2))
+		Expect(f.events.counts["retry: queue_full"]).To(Equal(2))
 		Expect(f.core.Take().Deliveries).To(BeEmpty())
 		for agent, m := range f.granted(2, f.submission(1)) {
 			f.core.HandleMessage(f.now, agent, refusal(m, failure.QueueFull))
@@ -148,10 +149,10 @@
 		Expect(out.Deliveries).To(HaveLen(1))
 		Expect(out.Deliveries[0].Answer.Error.Kind).To(Equal("overloaded"))
 		Expect(out.Deliveries[0].Answer.Error.Ran).To(Equal("not run"))
-		Expect(f.seen.counts["retry: queue_full"]).To(Equal(2))
+		Expect(f.events.counts["retry: queue_full"]).To(Equal(2))
 	})
 
-	It("of tasks that only met a busier agent cost no budget, and end in a queue without limit", func() {
+	It("cost no budget when the agent was busier than expected, and are placed without a queue limit in the end", func() {
 		f := newFixture(func(s *dispatch.Settings) { s.Bounces = 2; s.RetryBurst = 0 })
 		at := f.granted(1, f.submission(1))
 		var limits []uint32
@@ -166,7 +167,7 @@
 		Expect(limits).To(Equal([]uint32{0, 0, wire.NoQueueLimit}))
 	})
 
-	It("are not made for what may have run", func() {
+	It("are not made for tasks that may have run", func() {
 		f := newFixture(nil)
 		for agent, m := range f.granted(1, f.submission(1)) {
 			f.core.HandleMessage(f.now, agent, refusal(m, failure.BackendLost))
@@ -179,7 +180,8 @@
 })
 
 var _ = Describe("a job that the pool is too busy for", func() {
-	// busy has the agents known to take 500 ms for a task and hold n tasks each.
+	// busy returns a fixture whose agents take 500 ms for a task and hold n tasks
+	// each, as far as the core knows.
 	busy := func(n uint32) *fixture {
 		f := newFixture(nil)
 		for caller := range uint64(10) {
@@ -200,7 +202,7 @@
 		return f.answered[99].Error
 	}
 
-	It("is refused whole and at once, with when to come back", func() {
+	It("is refused as a whole and at once, with a delay before a resend", func() {
 		f := busy(30) // 22 wait at each agent, for 1.4 s
 		e := refused(f, f.submission(3))
 		Expect(e.Kind).To(Equal("overloaded"))
@@ -208,7 +210,7 @@
 		Expect(e.RetryAfterMS).To(BeNumerically(">", 100))
 	})
 
-	It("is refused when it would miss its own deadline, though others are taken", func() {
+	It("is refused when it would miss its own deadline, while other jobs are accepted", func() {
 		f := busy(14) // 6 wait at each agent, for 0.4 s
 		s := f.submission(3)
 		s.Deadline = f.now.Add(800 * time.Millisecond)
@@ -218,50 +220,50 @@
 })
 
 var _ = Describe("a silent agent (hazard 27)", func() {
-	It("is pinged, gets nothing more, and is back when it is heard", func() {
+	It("is pinged, gets no more tasks, and gets tasks again once a message arrives from it", func() {
 		f := newFixture(nil)
 		f.granted(1, f.submission(3))
 		f.core.HandleMessage(f.now, "a", &wire.Results{})
 		f.core.HandleMessage(f.now, "b", &wire.Results{})
-		f.pass(210 * time.Millisecond)
+		f.advance(210 * time.Millisecond)
 		Expect(sent[*wire.Ping](f.core.Take())).To(ConsistOf("a", "b", "c"))
 		f.core.HandleMessage(f.now, "a", &wire.Results{})
 		f.core.HandleMessage(f.now, "b", &wire.Results{})
-		f.pass(150 * time.Millisecond)
+		f.advance(150 * time.Millisecond)
 		f.core.HandleMessage(f.now, "a", &wire.Results{})
 		f.core.HandleMessage(f.now, "b", &wire.Results{})
-		f.pass(100 * time.Millisecond)
+		f.advance(100 * time.Millisecond)
 		f.core.Take()
-		Expect(f.seen.counts["suspected: agent"]).To(Equal(1))
+		Expect(f.events.counts["suspected: agent"]).To(Equal(1))
 		Expect(f.granted(2, f.submission(4))).NotTo(HaveKey("c"))
 		f.core.HandleMessage(f.now, "c", &wire.Results{})
 		Expect(f.granted(3, f.submission(4))).To(HaveKey("c"))
 	})
 
-	It("is not believed in when too many seem silent: the entry suspects itself (hazard 28)", func() {
+	It("keeps getting tasks when too many agents are silent: the entry suspects itself (hazard 28)", func() {
 		f := newFixture(nil)
 		f.granted(1, f.submission(3))
-		f.pass(500 * time.Millisecond)
-		Expect(f.seen.counts["suspected: agent"]).To(Equal(1))
-		Expect(f.seen.counts["suspected: self"]).To(Equal(2))
+		f.advance(500 * time.Millisecond)
+		Expect(f.events.counts["suspected: agent"]).To(Equal(1))
+		Expect(f.events.counts["suspected: self"]).To(Equal(2))
 	})
 
-	It("is excused when it was the entry that stood still", func() {
+	It("is not suspected when the entry itself was stalled", func() {
 		f := newFixture(nil)
 		f.granted(1, f.submission(3))
-		f.pass(210 * time.Millisecond)
+		f.advance(210 * time.Millisecond)
 		f.now = f.now.Add(10 * time.Second)
 		f.core.Tick(f.now)
-		f.pass(100 * time.Millisecond)
-		Expect(f.seen.counts["suspected: agent"]).To(BeZero())
+		f.advance(100 * time.Millisecond)
+		Expect(f.events.counts["suspected: agent"]).To(BeZero())
 	})
 
-	It("that holds a claim refuses it at once, and a resend goes on from there", func() {
+	It("that holds a claim makes it fail after the timeout, and a resent call uses a late grant", func() {
 		f := newFixture(nil)
 		s := f.submission(1)
 		f.core.Submit(f.now, 1, s)
 		m := f.core.Take().Sends[0].Message.(*wire.Claim)
-		f.pass(110 * time.Millisecond)
+		f.advance(110 * time.Millisecond)
 		out := f.core.Take()
 		Expect(out.Deliveries[0].Answer.Error.Kind).To(Equal("claim_unavailable"))
 		Expect(out.Deliveries[0].Answer.Error.Ran).To(Equal("unknown"))
@@ -271,7 +273,7 @@
 		Expect(sent[*wire.Claim](out)).To(Equal([]string{"a"}), "a probe")
 
 		f.core.HandleMessage(f.now, "a", &wire.ClaimReply{Seq: m.Seq, Verdict: uint8(claim.Granted), Owner: "e", OwnerIncarnation: "i", GrantSeq: m.Seq})
-		Expect(places(f.core.Take())).To(BeEmpty(), "a grant that came too late starts nothing")
+		Expect(places(f.core.Take())).To(BeEmpty(), "a late grant starts nothing")
 		again := *s
 		again.Payloads = [][]byte{[]byte("1")}
 		f.core.Submit(f.now, 3, &again)
@@ -281,8 +283,8 @@
 	})
 })
 
-var _ = Describe("answers kept for resends (hazard 10)", func() {
-	It("are bounded in number, and what is forgotten is not started again", func() {
+var _ = Describe("answers kept for resent calls (hazard 10)", func() {
+	It("are limited in number, and a submission whose answer was discarded is not started again", func() {
 		f := newFixture(func(s *dispatch.Settings) { s.KeepAnswers = 1 })
 		first := f.submission(1)
 		for n, s := range []*job.Submission{first, f.submission(1)} {
--- a/submissions/dispatch/fetch.go
+++ b/submissions/dispatch/fetch.go
@@ -14,11 +14,11 @@
 // fetch asks the entry that owns the submission for its answer.
 func (c *Core) fetch(now time.Time, r *record, owner claim.Owner, grant uint64) {
 	r.phase = fetching
-	p := &pending{r: r, id: r.sub.ID, peer: owner.Address, owner: owner, grant: grant, until: now.Add(c.set.FetchWait)}
+	p := &pendingRequest{r: r, id: r.sub.ID, peer: owner.Address, owner: owner, grant: grant, until: now.Add(c.cfg.FetchWait)}
 	c.startFetch(p)
 }
 
-func (c *Core) startFetch(p *pending) {
+func (c *Core) startFetch(p *pendingRequest) {
 	c.fetches[c.nextSeq()] = p
 	if s := c.peers[p.peer]; s != nil {
 		c.sendFetches(p.peer, s.incarnation)
@@ -27,13 +27,15 @@
 	c.out.Dials = append(c.out.Dials, p.peer)
 }
 
-// sendFetches sends the questions that wait for a connection to the peer.
+// sendFetches sends the fetches that wait for a connection to the peer. Those
+// for another incarnation of the peer fail, since the process that ran the
+// submission no longer exists.
 func (c *Core) sendFetches(peer, incarnation string) {
-	for _, seq := range matching(c.fetches, func(p *pending) bool { return p.peer == peer && !p.sent }) {
+	for _, seq := range sortedKeys(c.fetches, func(p *pendingRequest) bool { return p.peer == peer && !p.sent }) {
 		p := c.fetches[seq]
 		if p.owner.Incarnation != incarnation {
 			delete(c.fetches, seq)
-			c.fetchFailed(p, failure.OutcomeUnknown, "the entry that ran the submission is gone")
+			c.failFetch(p, failure.OutcomeUnknown, "the entry that ran the submission is gone")
 			continue
 		}
 		p.sent = true
@@ -45,40 +47,41 @@
 	}
 }
 
-// expireFetches gives up questions that could not be sent in time, and those
-// whose caller's own deadline has passed.
+// expireFetches gives up fetches that were not sent, and lookups that were not
+// answered, within FetchWait. Other fetches expire when the deadline of their
+// submission and the grace after it have passed.
 func (c *Core) expireFetches(now time.Time) {
-	late := func(p *pending) bool {
+	late := func(p *pendingRequest) bool {
 		if p.sent && p.r != nil {
-			return now.After(p.r.sub.Deadline.Add(c.set.Grace))
+			return now.After(p.r.sub.Deadline.Add(c.cfg.Grace))
 		}
 		return now.After(p.until)
 	}
-	for _, seq := range matching(c.fetches, late) {
+	for _, seq := range sortedKeys(c.fetches, late) {
 		p := c.fetches[seq]
 		delete(c.fetches, seq)
-		c.fetchFailed(p, failure.ClaimUnavailable, "the entry that runs the submission does not answer")
+		c.failFetch(p, failure.ClaimUnavailable, "the entry that runs the submission does not answer")
 	}
 }
 
 func (c *Core) dropFetches(peer string) {
-	for _, seq := range matching(c.fetches, func(p *pending) bool { return p.peer == peer && p.sent }) {
+	for _, seq := range sortedKeys(c.fetches, func(p *pendingRequest) bool { return p.peer == peer && p.sent }) {
 		p := c.fetches[seq]
 		delete(c.fetches, seq)
-		c.fetchFailed(p, failure.ClaimUnavailable, "the link to the entry that runs the submission broke")
+		c.failFetch(p, failure.ClaimUnavailable, "the link to the entry that runs the submission broke")
 	}
 }
 
-func (c *Core) fetchFailed(p *pending, k failure.Kind, reason string) {
+func (c *Core) failFetch(p *pendingRequest, k failure.Kind, reason string) {
 	if p.lookup != nil {
-		c.lookupFailed(p, k, reason)
+		c.failLookup(p, k, reason)
 		return
 	}
-	c.pass(p.r, refusal(p.r, k, reason, failure.RanUnknown, c.pauseFor(k)))
+	c.answerAndForget(p.r, refusal(p.r, k, reason, failure.RanUnknown, c.retryPauseFor(k)))
 }
 
-// fetched takes another entry's answer.
-func (c *Core) fetched(peer string, m *wire.Fetched) {
+// handleFetched handles the reply of another entry to a fetch.
+func (c *Core) handleFetched(peer string, m *wire.Fetched) {
 	p := c.fetches[m.Seq]
 	if p == nil || p.peer != peer {
 		c.count.Dropped(dropLateFetched)
@@ -86,27 +89,28 @@
 	}
 	delete(c.fetches, m.Seq)
 	if !m.Found {
-		c.fetchFailed(p, failure.OutcomeUnknown, "the entry that ran the submission no longer keeps its answer")
+		c.failFetch(p, failure.OutcomeUnknown, "the entry that ran the submission no longer keeps its answer")
 		return
 	}
 	a := &job.Answer{}
 	if err := json.Unmarshal(m.Answer, a); err != nil || a.Submission != p.id {
 		c.count.Violated(promiseOwnAnswer)
-		c.fetchFailed(p, failure.Internal, "another entry's answer does not fit")
+		c.failFetch(p, failure.Internal, "another entry's answer does not fit")
 		return
 	}
 	if p.lookup != nil {
 		c.answer(*p.lookup, a)
 		return
 	}
-	c.pass(p.r, resent(a))
+	c.answerAndForget(p.r, asResent(a))
 }
 
-// fetchAsked answers another entry, now or when the job ends.
-func (c *Core) fetchAsked(now time.Time, peer string, m *wire.Fetch) {
+// handleFetch answers the fetch of another entry: at once for a lookup or a
+// submission that is answered or unknown here, and else when its job ends.
+func (c *Core) handleFetch(now time.Time, peer string, m *wire.Fetch) {
 	w := Waiter{Peer: peer, Seq: m.Seq}
 	r := c.records[m.Submission]
-	known := r != nil && m.Incarnation == c.set.Self.Incarnation
+	known := r != nil && m.Incarnation == c.cfg.Self.Incarnation
 	if known && r.phase == abandoned {
 		known = c.closeAbandoned(now, r, m.GrantSeq)
 	}
@@ -119,8 +123,9 @@
 		return
 	}
 	if string(m.Digest) != string(r.sub.Digest[:]) {
-		// The holder granted us the content that is asked for. What we know of
-		// now is a later copy with other content, so we have forgotten the first.
+		// The holder granted this entry the content of the fetch. The record
+		// here belongs to a later duplicate with other content, so the record of
+		// the first one has been discarded.
 		c.send(peer, &wire.Fetched{Seq: m.Seq})
 		return
 	}
@@ -131,14 +136,15 @@
 	r.waiters = append(r.waiters, w)
 }
 
-// closeAbandoned ends a submission that turns out to be ours although we gave
-// up claiming it: it never ran, and from now on never will. It returns false
-// when the grant is not one that we gave up: then we used it, and forgot.
+// closeAbandoned settles an abandoned submission as not run: the fetch shows
+// that the holder granted it to this entry by a claim that this entry had given
+// up, so that it never ran, and now never will. It returns false when the grant
+// is not for such a claim: the grant was used then, and its record discarded.
 func (c *Core) closeAbandoned(now time.Time, r *record, grant uint64) bool {
 	if !slices.Contains(r.gaveUp, grant) {
 		return false
 	}
-	c.unkeep(r)
+	c.removeKept(r)
 	a := refusal(r, failure.ClaimUnavailable, "the claim was given up before anything started", failure.NotRun, 0)
 	a.Error.Retry = failure.RetryNewID.String()
 	c.settle(now, r, a)
@@ -152,7 +158,7 @@
 		c.send(w.Peer, &wire.Fetched{Seq: w.Seq})
 		return
 	}
-	if len(body) > c.set.MaxFetched {
+	if len(body) > c.cfg.MaxFetched {
 		e := failure.New(failure.AnswerTooLarge, "the whole answer is at the entry that ran the submission; it is too large to be passed on")
 		c.sendFetched(w, job.Refusal(a.Submission, e, failure.DidRun))
 		return
--- a/submissions/dispatch/lookup.go
+++ b/submissions/dispatch/lookup.go
@@ -9,17 +9,17 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// Lookup answers the caller with the state of a submission, whichever entry
-// runs it, and starts nothing.
+// Lookup returns to the caller the state of a submission, whichever entry runs
+// it. It starts nothing.
 func (c *Core) Lookup(now time.Time, caller uint64, id string) {
 	w := Waiter{Caller: caller}
 	if r := c.records[id]; r != nil && r.phase != fetching && r.phase != abandoned {
 		c.answer(w, stateOf(r))
 		return
 	}
-	p := &pending{peer: claim.HolderOf(id, c.set.Holders), until: now.Add(c.set.ClaimWait), id: id, lookup: &w}
+	p := &pendingRequest{peer: claim.HolderOf(id, c.cfg.Holders), until: now.Add(c.cfg.ClaimWait), id: id, lookup: &w}
 	if !c.reachable(p.peer) {
-		c.lookupFailed(p, failure.ClaimUnavailable, "the holder of the ID cannot be reached")
+		c.failLookup(p, failure.ClaimUnavailable, "the holder of the ID cannot be reached")
 		return
 	}
 	seq := c.nextSeq()
@@ -34,27 +34,27 @@
 	return &job.Answer{Submission: r.sub.ID, State: job.Running}
 }
 
-// found goes on with a lookup once the holder has answered.
-func (c *Core) found(now time.Time, p *pending, owner claim.Owner, m *wire.ClaimReply) {
+// handleLookupReply continues a lookup with the reply of the holder.
+func (c *Core) handleLookupReply(now time.Time, p *pendingRequest, owner claim.Owner, m *wire.ClaimReply) {
 	v := claim.Verdict(m.Verdict)
 	if p.id == "" {
 		return // a probe
 	}
 	switch {
 	case v == claim.NotHolder:
-		c.lookupFailed(p, failure.ClaimUnavailable, "the holder goes by another list of holders")
-	case v != claim.Held || owner.Address == c.set.Self.Address:
-		c.lookupFailed(p, failure.SubmissionNotFound, "nothing is remembered under this ID")
+		c.failLookup(p, failure.ClaimUnavailable, "the holder goes by another list of holders")
+	case v != claim.Held || owner.Address == c.cfg.Self.Address:
+		c.failLookup(p, failure.SubmissionNotFound, "nothing is remembered under this ID")
 	default:
-		c.startFetch(&pending{id: p.id, peer: owner.Address, owner: owner, grant: m.GrantSeq, until: now.Add(c.set.FetchWait), lookup: p.lookup})
+		c.startFetch(&pendingRequest{id: p.id, peer: owner.Address, owner: owner, grant: m.GrantSeq, until: now.Add(c.cfg.FetchWait), lookup: p.lookup})
 	}
 }
 
-func (c *Core) lookupFailed(p *pending, k failure.Kind, reason string) {
+func (c *Core) failLookup(p *pendingRequest, k failure.Kind, reason string) {
 	if p.id == "" {
 		return // a probe
 	}
 	e := failure.New(k, reason)
-	e.RetryAfter = c.pauseFor(k)
+	e.RetryAfter = c.retryPauseFor(k)
 	c.answer(*p.lookup, job.Refusal(p.id, e, failure.RanUnknown))
 }
--- a/submissions/dispatch/meter.go
+++ b/submissions/dispatch/meter.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// meter measures the rate at which tasks end.
-type meter struct {
+// rateMeter measures the rate at which tasks end, as an exponential moving
+// average over periods of meterPeriod.
+type rateMeter struct {
 	since  time.Time
 	ended  int
 	perSec float64
 }
 
 const (
-	meterPeriod = 200 * time.Millisecond // over which the rate is taken; a few tasks long
-	meterWeight = 0.3                    // of the newest period in the average
+	meterPeriod = 200 * time.Millisecond // length of a sample; a few tasks long
+	meterWeight = 0.3                    // weight of the newest sample in the average
 )
 
-func (m *meter) add(n int) { m.ended += n }
+func (m *rateMeter) add(n int) { m.ended += n }
 
-// roll closes a period when it is over.
-func (m *meter) roll(now time.Time) {
+// roll adds the current period to the average once it is over.
+func (m *rateMeter) roll(now time.Time) {
 	if m.since.IsZero() {
 		m.since = now
 		return
@@ -32,9 +33,9 @@
 	m.ended = 0
 }
 
-// timeFor returns how long n tasks take at the measured rate; zero when nothing
-// was measured.
-func (m *meter) timeFor(n int) time.Duration {
+// timeFor returns how long n tasks take at the measured rate. It returns zero
+// when the rate is below one task per second.
+func (m *rateMeter) timeFor(n int) time.Duration {
 	if m.perSec < 1 {
 		return 0
 	}
--- a/submissions/dispatch/place.go
+++ b/submissions/dispatch/place.go
@@ -10,35 +10,36 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// delayed is a task that was handed back and is to be placed again.
-type delayed struct {
+// delayedTask is a task that was handed back and is to be placed again at the
+// time at.
+type delayedTask struct {
 	at    time.Time
 	job   uint64
 	index int
-	kind  failure.Kind // why it was handed back
+	kind  failure.Kind // reason for which it was handed back
 }
 
-// placeAll spreads the tasks of a new job.
+// placeAll places all tasks of a new job.
 func (c *Core) placeAll(now time.Time, r *record) {
 	all := make([]int, len(r.job.Tasks))
 	for i := range all {
 		all[i] = i
 	}
 	if i, ok := c.placeTasks(now, r, all); !ok {
-		c.fail(now, r, i, failure.NoAgent, "no agent of the pool can take work")
+		c.failJob(now, r, i, failure.NoAgent, "no agent of the pool can take work")
 	}
 }
 
-// placeTasks chooses an agent for each of the tasks and sends them, those for
-// one agent together. When there is no agent for one of them, nothing is sent,
-// and that task is returned.
+// placeTasks chooses an agent for each of the tasks and sends the tasks, those
+// for the same agent together. If no agent can take one of them, it sends
+// nothing and returns the index of that task and false.
 func (c *Core) placeTasks(now time.Time, r *record, indexes []int) (without int, ok bool) {
 	byAgent := make(map[string][]int)
 	var order []string
 	for _, i := range indexes {
 		a := c.agents.Pick(r.sub.Pool, r.job.Tasks[i].Tried)
 		if a == nil {
-			c.unplace(byAgent)
+			c.releaseAll(byAgent)
 			return i, false
 		}
 		if byAgent[a.ID] == nil {
@@ -52,32 +53,33 @@
 	return 0, true
 }
 
-func (c *Core) unplace(byAgent map[string][]int) {
+func (c *Core) releaseAll(byAgent map[string][]int) {
 	for agent, indexes := range byAgent {
-		c.agents.Release(agent, len(indexes)) // the order does not matter
+		c.agents.Release(agent, len(indexes)) // independent of the map's order
 	}
 }
 
-// sendTo sends tasks that are counted as placed at the agent already. Those
-// that may still be handed back as busy go with a limit on the agent's queue.
+// sendTo sends tasks that already count as outstanding at the agent. Tasks that
+// may still be handed back as busy are sent with a limit on the agent's queue;
+// those handed back too often are sent without one.
 func (c *Core) sendTo(now time.Time, r *record, agent string, indexes []int) {
 	c.count.Placed(len(indexes))
-	c.awaitWord(now, agent, len(indexes))
+	c.restartSilenceTimer(now, agent, len(indexes))
 	var limited, final []int
 	for _, i := range indexes {
-		if r.job.Tasks[i].Bounces < c.set.Bounces {
+		if r.job.Tasks[i].Bounces < c.cfg.Bounces {
 			limited = append(limited, i)
 		} else {
 			final = append(final, i)
 		}
 	}
-	limit := uint32(c.agents.EstimatedQueue(agent) + c.set.Slack)
+	limit := uint32(c.agents.EstimatedQueue(agent) + c.cfg.Slack)
 	c.sendTasks(now, r, agent, limited, limit)
 	c.sendTasks(now, r, agent, final, wire.NoQueueLimit)
 }
 
-// maxPlaceBytes bounds the payloads in one message, well under the bound of a frame; a payload
-// alone may be larger. In bytes.
+// maxPlaceBytes is the limit on the payloads in one message, well below the limit on a frame. A
+// single larger payload gets a message of its own.
 const maxPlaceBytes = 1 << 20
 
 func (c *Core) sendTasks(now time.Time, r *record, agent string, indexes []int, limit uint32) {
@@ -109,55 +111,58 @@
 	}
 }
 
-// handBack deals with a task that an agent certainly did not run: it is tried
-// elsewhere while that makes sense, and else the job has to fail.
-func (c *Core) handBack(now time.Time, r *record, i int, k failure.Kind, reason string) (e ending, failed bool) {
+// handleNotRun handles a task that an agent certainly did not run. It schedules
+// a retry, or returns the failure of the job if the kind is not retryable, the
+// attempts are used up or the retry budget is spent. A task that was handed
+// back as busy is retried at once and costs neither attempts nor budget.
+func (c *Core) handleNotRun(now time.Time, r *record, i int, k failure.Kind, reason string) (e jobFailure, failed bool) {
 	if k == failure.Busy {
 		r.job.Bounce(i)
-		c.later = append(c.later, delayed{now, r.job.Number, i, k})
-		return ending{}, false
+		c.delayed = append(c.delayed, delayedTask{now, r.job.Number, i, k})
+		return jobFailure{}, false
 	}
 	r.job.HandBack(i)
 	tries := r.job.Tasks[i].Tries()
 	switch {
-	case !worthRetry(k):
-		return ending{r, i, k, reason}, true
-	case tries >= c.set.Attempts:
-		return ending{r, i, k, fmt.Sprintf("refused %d times, last: %s", tries, reason)}, true
+	case !retryable(k):
+		return jobFailure{r, i, k, reason}, true
+	case tries >= c.cfg.Attempts:
+		return jobFailure{r, i, k, fmt.Sprintf("refused %d times, last: %s", tries, reason)}, true
 	case !c.budget.Spend():
-		return ending{r, i, failure.Overloaded, "the retry budget is spent after " + k.String()}, true
+		return jobFailure{r, i, failure.Overloaded, "the retry budget is spent after " + k.String()}, true
 	}
-	c.later = append(c.later, delayed{now.Add(c.pauseBefore(tries)), r.job.Number, i, k})
-	return ending{}, false
+	c.delayed = append(c.delayed, delayedTask{now.Add(c.backoffAfter(tries)), r.job.Number, i, k})
+	return jobFailure{}, false
 }
 
-// pauseBefore returns the pause after that many tries; none after the first.
-func (c *Core) pauseBefore(tries int) time.Duration {
+// backoffAfter returns the delay before the retry that follows that many tries.
+// The first retry is not delayed.
+func (c *Core) backoffAfter(tries int) time.Duration {
 	if tries <= 1 {
 		return 0
 	}
-	return c.set.Backoff.Delay(tries-2, c.rng.Float64())
+	return c.cfg.Backoff.Delay(tries-2, c.rng.Float64())
 }
 
-// worthRetry returns whether another agent may do better. The kinds listed
-// here are all "not run".
-func worthRetry(k failure.Kind) bool {
+// retryable returns whether another agent may be able to run the task. All
+// these kinds mean that the task did not run.
+func retryable(k failure.Kind) bool {
 	return k == failure.QueueFull || k == failure.Stopping || k == failure.BackendUnreachable
 }
 
-// placeDue places what was handed back and whose pause is over, the tasks of
-// one job together.
-func (c *Core) placeDue(now time.Time) {
-	if len(c.later) == 0 {
+// placeDelayed places the handed back tasks whose delay is over, those of the
+// same job together.
+func (c *Core) placeDelayed(now time.Time) {
+	if len(c.delayed) == 0 {
 		return
 	}
-	due := make(map[uint64][]delayed)
+	due := make(map[uint64][]delayedTask)
 	var order []uint64
-	waiting := c.later
-	c.later = nil
+	waiting := c.delayed
+	c.delayed = nil
 	for _, d := range waiting {
 		if now.Before(d.at) {
-			c.later = append(c.later, d)
+			c.delayed = append(c.delayed, d)
 			continue
 		}
 		if due[d.job] == nil {
@@ -167,12 +172,12 @@
 	}
 	for _, n := range order {
 		if r := c.jobs[n]; r != nil {
-			c.placeAgain(now, r, due[n])
+			c.retryTasks(now, r, due[n])
 		}
 	}
 }
 
-func (c *Core) placeAgain(now time.Time, r *record, tasks []delayed) {
+func (c *Core) retryTasks(now time.Time, r *record, tasks []delayedTask) {
 	indexes := make([]int, len(tasks))
 	kinds := make(map[int]failure.Kind, len(tasks))
 	for k, d := range tasks {
@@ -184,7 +189,7 @@
 		if k == failure.Busy {
 			k = failure.NoAgent
 		}
-		c.fail(now, r, i, k, "no other agent of the pool can take the task")
+		c.failJob(now, r, i, k, "no other agent of the pool can take the task")
 		return
 	}
 	for _, d := range tasks {
@@ -192,14 +197,15 @@
 	}
 }
 
-// fail ends a job because of task i, or of none in particular when i is
-// negative, and cancels what has not started.
-func (c *Core) fail(now time.Time, r *record, i int, k failure.Kind, reason string) {
+// failJob fails a job because of task i, or of no single task when i is
+// negative, and cancels its tasks that are still placed; agents give up those
+// that have not started.
+func (c *Core) failJob(now time.Time, r *record, i int, k failure.Kind, reason string) {
 	e := failure.New(k, reason)
-	e.RetryAfter = c.pauseFor(k)
+	e.RetryAfter = c.retryPauseFor(k)
 	r.job.Fail(i, e)
 	c.cancelPlaced(r)
-	c.end(now, r)
+	c.endJob(now, r)
 }
 
 func (c *Core) cancelPlaced(r *record) {
@@ -221,18 +227,18 @@
 	}
 }
 
-// end settles a job that has its answer.
-func (c *Core) end(now time.Time, r *record) {
+// endJob removes a job that has its answer and settles its submission.
+func (c *Core) endJob(now time.Time, r *record) {
 	c.running -= len(r.job.Tasks)
 	c.rate.add(len(r.job.Tasks))
 	delete(c.jobs, r.job.Number)
-	c.settle(now, r, c.checked(r))
+	c.settle(now, r, c.checkedAnswer(r))
 	r.job = nil
 }
 
-// checked asserts what every answer must hold. An answer that does not hold it
-// is not given.
-func (c *Core) checked(r *record) *job.Answer {
+// checkedAnswer returns the job's answer after asserting the promises about it.
+// In place of an answer that violates one it returns an internal error.
+func (c *Core) checkedAnswer(r *record) *job.Answer {
 	a := r.job.Answer()
 	broken := ""
 	switch {
@@ -250,10 +256,11 @@
 	return refusal(r, failure.Internal, "a promise of the program is broken: "+broken, failure.RanUnknown, 0)
 }
 
-// expireJobs fails jobs whose deadline has passed without a word of the agents.
+// expireJobs fails jobs that have no answer when their deadline and the grace
+// for the agents' results after it have passed.
 func (c *Core) expireJobs(now time.Time) {
-	late := func(r *record) bool { return now.After(r.sub.Deadline.Add(c.set.Grace)) }
-	for _, n := range matching(c.jobs, late) {
-		c.fail(now, c.jobs[n], -1, failure.DeadlineWhileRunning, "the deadline passed and not every agent has answered")
+	late := func(r *record) bool { return now.After(r.sub.Deadline.Add(c.cfg.Grace)) }
+	for _, n := range sortedKeys(c.jobs, late) {
+		c.failJob(now, c.jobs[n], -1, failure.DeadlineWhileRunning, "the deadline passed and not every agent has answered")
 	}
 }
--- a/submissions/dispatch/random_test.go
+++ b/submissions/dispatch/random_test.go
@@ -14,8 +14,8 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// TestMain fixes the seed, so that CI gives the same verdict every time.
-// Longer runs set LICHENFALL_CASES and LICHENFALL_SEED; see the Makefile.
+// TestMain sets a fixed seed, so that CI gives the same result every time. Longer
+// runs set LICHENFALL_CASES and LICHENFALL_SEED; see the Makefile.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	setFlag("rapid.seed", os.Getenv("LICHENFALL_SEED"), "20261202")
@@ -33,44 +33,45 @@
 	}
 }
 
-// TestRandomised draws submissions, resends and faults in any order, together
-// and twice, and checks the promises after each step.
+// TestRandomised runs random sequences of submissions, resent calls and faults,
+// which may overlap and repeat, and checks the promises at every start of a task
+// and every answer.
 func TestRandomised(t *testing.T) {
-	seen := &tally{counts: make(map[string]int)}
+	events := &tally{counts: make(map[string]int)}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, seen, 2, 3)
-		for range w.between(10, 120) {
+		w := newWorld(t, events, 2, 3)
+		for range w.randInt(10, 120) {
 			w.step()
 		}
-		w.calm()
+		w.quiesce()
 	})
-	t.Logf("what was met:\n%s", seen)
+	t.Logf("what was met:\n%s", events)
 	for _, must := range []string{
 		"answer: complete", "claim: granted", "claim: held", "claim: unknown", "claim: mismatch",
 		"fault: agent crash", "fault: entry crash", "fault: pause", "fault: cut", "fault: leave",
 		"fault: repeated answer", "fault: repeated request", "claim: too_early",
 	} {
-		if seen.counts[must] == 0 {
-			t.Errorf("the run never met %q", must)
+		if events.counts[must] == 0 {
+			t.Errorf("the run had no event %q", must)
 		}
 	}
 }
 
-// step draws one thing that happens.
+// step performs one random action.
 func (w *world) step() {
 	actions := []struct {
 		weight int
 		do     func()
 	}{
-		{40, w.deliverSome}, {14, w.finishSome}, {14, w.submitNew}, {10, w.resend}, {10, w.pass},
-		{2, w.crashAgent}, {2, w.crashEntry}, {3, w.pauseSome}, {3, w.resumeSome}, {3, w.cut},
-		{3, w.reconnect}, {2, w.repeat}, {1, w.leave}, {1, w.passLong}, {1, w.stopEntry},
+		{40, w.deliverMessages}, {14, w.finishTask}, {14, w.submitNew}, {10, w.resend}, {10, w.advanceShort},
+		{2, w.crashAgent}, {2, w.crashEntry}, {3, w.pauseProcess}, {3, w.resumeProcess}, {3, w.cutConn},
+		{3, w.reconnect}, {2, w.repeatMessage}, {1, w.leaveAgent}, {1, w.advanceLong}, {1, w.stopEntry},
 	}
 	total := 0
 	for _, a := range actions {
 		total += a.weight
 	}
-	n := w.between(0, total-1)
+	n := w.randInt(0, total-1)
 	for _, a := range actions {
 		if n -= a.weight; n < 0 {
 			a.do()
@@ -79,9 +80,10 @@
 	}
 }
 
-// open returns what could be delivered now: functions, one for each direction
-// of a connection that has something for a running receiver.
-func (w *world) open() []func() {
+// deliverable returns a function for each direction of a connection that has a
+// message, or its end, for a receiver that is not paused. The function delivers
+// it.
+func (w *world) deliverable() []func() {
 	var out []func()
 	for _, c := range w.conns {
 		if c.toPeer.ready() && w.peerAlive(c) && !w.peerPaused(c) {
@@ -101,22 +103,22 @@
 	return w.entryAt(c.peer).paused
 }
 
-func (w *world) deliverSome() {
-	for range w.between(1, 4) {
-		open := w.open()
-		if len(open) == 0 {
+func (w *world) deliverMessages() {
+	for range w.randInt(1, 4) {
+		ready := w.deliverable()
+		if len(ready) == 0 {
 			return
 		}
-		open[w.between(0, len(open)-1)]()
+		ready[w.randInt(0, len(ready)-1)]()
 	}
 }
 
-func (w *world) finishSome() {
-	a := w.agents[w.between(0, len(w.agents)-1)]
+func (w *world) finishTask() {
+	a := w.agents[w.randInt(0, len(w.agents)-1)]
 	if a.paused || len(a.running) == 0 {
 		return
 	}
-	i := w.between(0, len(a.running)-1)
+	i := w.randInt(0, len(a.running)-1)
 	r := a.running[i]
 	a.running = append(a.running[:i], a.running[i+1:]...)
 	a.queue.Finished(w.agentNow(a), r.task, r.outcome)
@@ -124,26 +126,26 @@
 }
 
 func (w *world) submitNew() {
-	n := w.between(1, 4)
-	age := time.Duration(w.between64(-int64(clockBound), int64(clockBound)))
+	n := w.randInt(1, 4)
+	age := time.Duration(w.randInt64(-int64(clockBound), int64(clockBound)))
 	id := fmt.Sprintf("s%d@%d", len(w.subs), w.now.Add(-age).UnixMilli())
 	s := &job.Submission{ID: id, Workspace: "team", Pool: "pool", Digest: sha256.Sum256([]byte(id))}
 	for range n {
 		s.Payloads = append(s.Payloads, []byte("{}"))
 	}
 	w.subs = append(w.subs, s)
-	w.submit(s, w.between(0, len(w.entries)-1))
+	w.submit(s, w.randInt(0, len(w.entries)-1))
 }
 
 func (w *world) resend() {
 	if len(w.subs) == 0 {
 		return
 	}
-	s := *w.subs[w.between(max(0, len(w.subs)-10), len(w.subs)-1)]
-	if w.between(0, 19) == 0 {
+	s := *w.subs[w.randInt(max(0, len(w.subs)-10), len(w.subs)-1)]
+	if w.randInt(0, 19) == 0 {
 		s.Digest[0]++
 	}
-	w.submit(&s, w.between(0, len(w.entries)-1))
+	w.submit(&s, w.randInt(0, len(w.entries)-1))
 }
 
 func (w *world) submit(s *job.Submission, entry int) {
@@ -156,20 +158,20 @@
 	for range s.Payloads {
 		c.Payloads = append(c.Payloads, []byte(content(s)))
 	}
-	c.Deadline = w.entryNow(e).Add(time.Duration(w.between(50, 3000)) * time.Millisecond)
+	c.Deadline = w.entryNow(e).Add(time.Duration(w.randInt(50, 3000)) * time.Millisecond)
 	w.caller++
 	w.calls[w.caller] = &call{sub: &c, entry: entry, inc: e.inc, tasks: len(s.Payloads)}
 	e.core.Submit(w.entryNow(e), w.caller, &c)
 	w.flushEntry(e)
 }
 
-func (w *world) pass() {
-	w.advance(time.Duration(w.between(1, 100)) * time.Millisecond)
+func (w *world) advanceShort() {
+	w.advance(time.Duration(w.randInt(1, 100)) * time.Millisecond)
 }
 
-func (w *world) passLong() {
-	w.seen.add("fault: long wait")
-	w.advance(time.Duration(w.between(1, 30)) * time.Second)
+func (w *world) advanceLong() {
+	w.events.add("fault: long wait")
+	w.advance(time.Duration(w.randInt(1, 30)) * time.Second)
 }
 
 func (w *world) advance(d time.Duration) {
@@ -189,8 +191,8 @@
 }
 
 func (w *world) crashAgent() {
-	w.seen.add("fault: agent crash")
-	i := w.between(0, len(w.agents)-1)
+	w.events.add("fault: agent crash")
+	i := w.randInt(0, len(w.agents)-1)
 	for _, c := range w.conns {
 		if c.peer == w.agents[i].address && c.peerInc == w.agents[i].inc {
 			w.breakConn(c)
@@ -200,8 +202,8 @@
 }
 
 func (w *world) crashEntry() {
-	w.seen.add("fault: entry crash")
-	i := w.between(0, len(w.entries)-1)
+	w.events.add("fault: entry crash")
+	i := w.randInt(0, len(w.entries)-1)
 	for _, c := range w.conns {
 		dialled := c.peer == w.entries[i].address && c.peerInc == w.entries[i].inc
 		if dialled || c.entry == i && c.entryInc == w.entries[i].inc {
@@ -211,9 +213,9 @@
 	w.startEntry(i)
 }
 
-func (w *world) pauseSome() {
-	w.seen.add("fault: pause")
-	n := w.between(0, len(w.agents)+len(w.entries)-1)
+func (w *world) pauseProcess() {
+	w.events.add("fault: pause")
+	n := w.randInt(0, len(w.agents)+len(w.entries)-1)
 	if n < len(w.agents) {
 		w.agents[n].paused = true
 		return
@@ -221,8 +223,8 @@
 	w.entries[n-len(w.agents)].paused = true
 }
 
-func (w *world) resumeSome() {
-	n := w.between(0, len(w.agents)+len(w.entries)-1)
+func (w *world) resumeProcess() {
+	n := w.randInt(0, len(w.agents)+len(w.entries)-1)
 	if n < len(w.agents) {
 		w.agents[n].paused = false
 		return
@@ -230,32 +232,32 @@
 	w.entries[n-len(w.agents)].paused = false
 }
 
-func (w *world) cut() {
+func (w *world) cutConn() {
 	if len(w.conns) == 0 {
 		return
 	}
-	w.seen.add("fault: cut")
-	w.breakConn(w.conns[w.between(max(0, len(w.conns)-8), len(w.conns)-1)])
+	w.events.add("fault: cut")
+	w.breakConn(w.conns[w.randInt(max(0, len(w.conns)-8), len(w.conns)-1)])
 }
 
-// repeat lets a message that is under way arrive once more, perhaps on another
-// connection to the same process.
-func (w *world) repeat() {
-	from := w.conns[w.between(max(0, len(w.conns)-8), len(w.conns)-1)]
-	to := w.conns[w.between(max(0, len(w.conns)-8), len(w.conns)-1)]
+// repeatMessage duplicates a message in flight in each direction. The duplicate
+// to an entry may use another connection of the same process.
+func (w *world) repeatMessage() {
+	from := w.conns[w.randInt(max(0, len(w.conns)-8), len(w.conns)-1)]
+	to := w.conns[w.randInt(max(0, len(w.conns)-8), len(w.conns)-1)]
 	if n := len(from.toEntry.messages); n > 0 && from.entry == to.entry && from.entryInc == to.entryInc {
-		w.seen.add("fault: repeated answer")
-		to.toEntry.push(from.toEntry.messages[w.between(0, n-1)])
+		w.events.add("fault: repeated answer")
+		to.toEntry.push(from.toEntry.messages[w.randInt(0, n-1)])
 	}
 	if n := len(from.toPeer.messages); n > 0 {
-		w.seen.add("fault: repeated request")
-		from.toPeer.push(from.toPeer.messages[w.between(0, n-1)])
+		w.events.add("fault: repeated request")
+		from.toPeer.push(from.toPeer.messages[w.randInt(0, n-1)])
 	}
 }
 
-func (w *world) leave() {
-	w.seen.add("fault: leave")
-	a := w.agents[w.between(0, len(w.agents)-1)]
+func (w *world) leaveAgent() {
+	w.events.add("fault: leave")
+	a := w.agents[w.randInt(0, len(w.agents)-1)]
 	if a.paused {
 		return
 	}
@@ -270,13 +272,14 @@
 }
 
 func (w *world) stopEntry() {
-	w.seen.add("fault: planned stop of an entry")
-	w.entries[w.between(0, len(w.entries)-1)].core.Stop()
+	w.events.add("fault: planned stop of an entry")
+	w.entries[w.randInt(0, len(w.entries)-1)].core.Stop()
 }
 
-// calm ends all faults and lets everything come to its end. Every caller whose
-// entry still lives must then have an answer.
-func (w *world) calm() {
+// quiesce ends all faults, and delivers all messages and finishes all tasks
+// during 4 s of virtual time. Every caller whose entry has not crashed must then
+// have an answer.
+func (w *world) quiesce() {
 	for _, a := range w.agents {
 		a.paused = false
 	}
@@ -285,11 +288,11 @@
 	}
 	for range 40 {
 		for range 2000 {
-			open := w.open()
-			if len(open) == 0 {
+			ready := w.deliverable()
+			if len(ready) == 0 {
 				break
 			}
-			open[0]()
+			ready[0]()
 		}
 		for _, a := range w.agents {
 			for len(a.running) > 0 {
--- a/submissions/dispatch/record.go
+++ b/submissions/dispatch/record.go
@@ -8,46 +8,48 @@
 	"github.com/lichenfall/lichenfall/submissions/job"
 )
 
-// phase is where a submission stands at this entry.
+// phase is the state of a submission at this entry.
 type phase uint8
 
 const (
-	claiming  phase = iota // the holder has been asked
-	running                // granted to us, tasks are out
-	answered               // granted to us, and the answer is final
-	fetching               // granted to another entry, which has been asked
-	abandoned              // asked the holder, gave up waiting; never started
+	claiming  phase = iota // a claim is pending at the holder
+	running                // granted to this entry, which runs its job
+	answered               // granted to this entry, with a final answer
+	fetching               // granted to another entry, whose answer is being fetched
+	abandoned              // the claim was given up unanswered; nothing was started
 )
 
-// record is what this entry knows of one submission.
+// record is the state of one submission at this entry.
 type record struct {
 	sub   *job.Submission
 	phase phase
-	// gaveUp holds the numbers of claims given up unanswered. If the holder
-	// granted one of them, nothing was started by it, and we may start now.
+	// gaveUp holds the sequence numbers of claims that were given up unanswered.
+	// If the holder granted the ID to one of them, nothing was started by it, and
+	// the submission may be started now.
 	gaveUp  []uint64
 	waiters []Waiter
 	job     *job.Job
 	answer  *job.Answer
-	bytes   int           // of the answer's results
-	kept    *list.Element // in the keeper, when answered or abandoned
+	bytes   int           // size of the answer's results
+	kept    *list.Element // in the keptRecords, when answered or abandoned
 	keptAt  time.Time
 }
 
-// keeper holds the records that nobody waits for, oldest first.
-type keeper struct {
+// keptRecords holds the answered and abandoned records, oldest first.
+type keptRecords struct {
 	order *list.List // of *record
 	bytes int
 }
 
-func newKeeper() keeper { return keeper{order: list.New()} }
+func newKeptRecords() keptRecords { return keptRecords{order: list.New()} }
 
-// keep lets the record be found by resends until it is old or room is short.
+// keep retains the record for resent calls until it expires or the limits on
+// the number and the bytes of answers force it out.
 func (c *Core) keep(now time.Time, r *record) {
 	r.keptAt = now
 	r.kept = c.kept.order.PushBack(r)
 	c.kept.bytes += r.bytes
-	for c.kept.order.Len() > c.set.KeepAnswers || c.kept.bytes > c.set.KeepBytes {
+	for c.kept.order.Len() > c.cfg.KeepAnswers || c.kept.bytes > c.cfg.KeepBytes {
 		if c.kept.order.Len() == 0 {
 			return
 		}
@@ -55,29 +57,29 @@
 	}
 }
 
-func (c *Core) unkeep(r *record) {
+func (c *Core) removeKept(r *record) {
 	c.kept.order.Remove(r.kept)
 	c.kept.bytes -= r.bytes
 	r.kept = nil
 }
 
 func (c *Core) discard(r *record) {
-	c.unkeep(r)
+	c.removeKept(r)
 	delete(c.records, r.sub.ID)
 }
 
-// forget discards what is older than it has to be kept.
-func (c *Core) forget(now time.Time) {
+// expireKept discards the records that have been kept for longer than KeepFor.
+func (c *Core) expireKept(now time.Time) {
 	for e := c.kept.order.Front(); e != nil; e = c.kept.order.Front() {
 		r := e.Value.(*record)
-		if now.Sub(r.keptAt) <= c.set.KeepFor {
+		if now.Sub(r.keptAt) <= c.cfg.KeepFor {
 			return
 		}
 		c.discard(r)
 	}
 }
 
-// settle gives all who wait for the record the final answer and keeps it.
+// settle sends the final answer to all waiters of the record and keeps it.
 func (c *Core) settle(now time.Time, r *record, a *job.Answer) {
 	r.phase = answered
 	r.answer = a
@@ -89,8 +91,9 @@
 	c.keep(now, r)
 }
 
-// pass gives all who wait for the record an answer that is not ours to keep.
-func (c *Core) pass(r *record, a *job.Answer) {
+// answerAndForget sends an answer to all waiters of the record and deletes the
+// record, since this entry has no final answer of the submission to keep.
+func (c *Core) answerAndForget(r *record, a *job.Answer) {
 	c.answerAll(r, a)
 	delete(c.records, r.sub.ID)
 }
@@ -99,7 +102,7 @@
 	for i, w := range r.waiters {
 		out := a
 		if i > 0 {
-			out = resent(a)
+			out = asResent(a)
 		}
 		c.answer(w, out)
 	}
@@ -123,13 +126,14 @@
 	return k
 }
 
-func resent(a *job.Answer) *job.Answer {
+func asResent(a *job.Answer) *job.Answer {
 	out := *a
 	out.Resent = true
 	return &out
 }
 
-// refusal makes an answer that says of the submission what ran says.
+// refusal returns a failed answer of the given kind. ran is what is known of
+// whether the submission ran, after the suggested delay before a resend.
 func refusal(r *record, k failure.Kind, reason string, ran failure.Ran, after time.Duration) *job.Answer {
 	e := failure.New(k, reason)
 	e.RetryAfter = after
--- a/submissions/dispatch/submit.go
+++ b/submissions/dispatch/submit.go
@@ -7,18 +7,19 @@
 	"github.com/lichenfall/lichenfall/submissions/job"
 )
 
-// Submit takes a submission from a caller, who gets an answer in time.
+// Submit handles a submission from a caller. A resent call gets the answer of
+// the first one, at once or when its job ends.
 func (c *Core) Submit(now time.Time, caller uint64, s *job.Submission) {
 	w := Waiter{Caller: caller}
 	r := c.records[s.ID]
 	if r != nil && r.sub.Digest != s.Digest {
-		c.refuseOther(w, r, s)
+		c.refuseMismatch(w, r, s)
 		return
 	}
 	switch {
-	case r == nil && c.stop:
+	case r == nil && c.stopping:
 		c.refuseEarly(w, s, failure.Stopping, "this entry is stopping")
-	case r == nil && len(c.claims) >= c.set.MaxClaims:
+	case r == nil && len(c.claims) >= c.cfg.MaxClaims:
 		c.refuseEarly(w, s, failure.Overloaded, "too many claims wait for their holders")
 	case r == nil:
 		r = &record{sub: s, waiters: []Waiter{w}}
@@ -26,9 +27,9 @@
 		c.claim(now, r)
 	case r.phase == answered:
 		c.count.Resent("answered")
-		c.answer(w, resent(r.answer))
+		c.answer(w, asResent(r.answer))
 	case r.phase == abandoned:
-		c.unkeep(r)
+		c.removeKept(r)
 		r.sub = s
 		r.waiters = []Waiter{w}
 		c.claim(now, r)
@@ -38,9 +39,10 @@
 	}
 }
 
-// refuseOther refuses a copy with other content than the one that we know of.
-// Only if that one was granted to us is it certain that this one never ran.
-func (c *Core) refuseOther(w Waiter, r *record, s *job.Submission) {
+// refuseMismatch refuses a submission whose content differs from the known
+// record of the same ID. Only if that record was granted to this entry is it
+// certain that the content refused here never ran.
+func (c *Core) refuseMismatch(w Waiter, r *record, s *job.Submission) {
 	if r.phase == running || r.phase == answered {
 		c.answer(w, job.Refusal(s.ID, failure.New(failure.SubmissionMismatch, ""), failure.NotRun))
 		return
@@ -48,21 +50,21 @@
 	c.refuseEarly(w, s, failure.ClaimUnavailable, "a copy with other content is being claimed")
 }
 
-// refuseEarly refuses a submission before it is known whether another copy of
-// it runs elsewhere, so that nothing may be said about that. The caller may
-// send the same ID again.
+// refuseEarly refuses a submission before it is claimed. A duplicate may run at
+// another entry, so the answer leaves open whether the submission ran. The
+// caller may resend it with the same ID.
 func (c *Core) refuseEarly(w Waiter, s *job.Submission, k failure.Kind, reason string) {
 	e := failure.New(k, reason)
-	e.RetryAfter = c.comeBack()
+	e.RetryAfter = c.retryPause()
 	a := job.Refusal(s.ID, e, failure.RanUnknown)
 	a.Error.Retry = failure.RetrySameID.String()
 	c.answer(w, a)
 }
 
-// admit decides about a submission that was granted to this entry: whatever is
-// refused here never ran and never will.
+// admit starts or refuses a submission that was granted to this entry. One that
+// is refused here never ran and never will.
 func (c *Core) admit(now time.Time, r *record) {
-	if e := c.reasonToRefuse(now, r.sub); e != nil {
+	if e := c.admissionError(now, r.sub); e != nil {
 		c.settle(now, r, job.Refusal(r.sub.ID, e, failure.NotRun))
 		return
 	}
@@ -75,7 +77,7 @@
 	c.placeAll(now, r)
 }
 
-func (c *Core) reasonToRefuse(now time.Time, s *job.Submission) *failure.Error {
+func (c *Core) admissionError(now time.Time, s *job.Submission) *failure.Error {
 	switch {
 	case !c.workspaces[s.Workspace]:
 		return failure.New(failure.UnknownWorkspace, "no team is named "+s.Workspace)
@@ -83,25 +85,25 @@
 		return failure.New(failure.UnknownPool, "no pool is named "+s.Pool)
 	case !now.Before(s.Deadline):
 		return failure.New(failure.DeadlinePast, "the deadline has passed")
-	case c.running+len(s.Payloads) > c.set.MaxTasks:
-		return c.overloaded("this entry holds as many tasks as it may", c.comeBack())
+	case c.running+len(s.Payloads) > c.cfg.MaxTasks:
+		return c.overloaded("this entry holds as many tasks as it may", c.retryPause())
 	}
-	return c.tooLate(now, s)
+	return c.checkPoolLoad(now, s)
 }
 
-// tooLate refuses a whole job that would wait too long in the pool, before any
-// of its tasks has run for nothing.
-func (c *Core) tooLate(now time.Time, s *job.Submission) *failure.Error {
+// checkPoolLoad refuses a whole job that would wait too long in the pool or
+// miss its deadline, before any of its tasks runs in vain.
+func (c *Core) checkPoolLoad(now time.Time, s *job.Submission) *failure.Error {
 	p := c.agents.State(s.Pool)
 	n := len(s.Payloads)
 	if p.Slots == 0 {
-		return nil // placing it will tell
+		return nil // placeAll fails the job with NoAgent
 	}
 	wait := p.Wait(n)
-	if wait <= c.set.MaxWait && now.Add(wait+p.MeanRun).Before(s.Deadline) && !p.Full(n) {
+	if wait <= c.cfg.MaxWait && now.Add(wait+p.MeanRun).Before(s.Deadline) && !p.Full(n) {
 		return nil
 	}
-	return c.overloaded("the pool is too busy for the job to be done in time", c.spread(wait-c.set.MaxWait/2))
+	return c.overloaded("the pool is too busy for the job to be done in time", c.jitter(wait-c.cfg.MaxWait/2))
 }
 
 func (c *Core) overloaded(reason string, after time.Duration) *failure.Error {
@@ -110,30 +112,31 @@
 	return e
 }
 
-// pauseFor returns when to come back after a refusal of the kind, zero where
-// waiting does not help.
-func (c *Core) pauseFor(k failure.Kind) time.Duration {
+// retryPauseFor returns the delay suggested to a caller after a refusal of the
+// kind, or zero if waiting does not help.
+func (c *Core) retryPauseFor(k failure.Kind) time.Duration {
 	switch k {
 	case failure.Overloaded, failure.NoAgent, failure.QueueFull, failure.Stopping, failure.BackendUnreachable:
-		return c.comeBack()
+		return c.retryPause()
 	}
 	return 0
 }
 
-// The bounds of the pause that a refused caller is told.
+// The bounds of the delay suggested to refused callers, before jitter.
 const (
 	minPause = 50 * time.Millisecond // the shortest task
 	maxPause = 5 * time.Second
 )
 
-// comeBack estimates when the tasks held now will be done, with jitter so that
-// the refused do not all return at once.
-func (c *Core) comeBack() time.Duration {
-	return c.spread(c.rate.timeFor(c.running))
+// retryPause returns the estimated time until the current tasks are done, with
+// jitter so that refused callers do not all resend at the same time.
+func (c *Core) retryPause() time.Duration {
+	return c.jitter(c.rate.timeFor(c.running))
 }
 
-// spread bounds a pause and spreads it from half to one and a half times.
-func (c *Core) spread(d time.Duration) time.Duration {
+// jitter limits d to the range of minPause to maxPause and returns a random
+// delay between half and one and a half times that.
+func (c *Core) jitter(d time.Duration) time.Duration {
 	d = min(max(d, minPause), maxPause)
 	return d/2 + time.Duration(c.rng.Int64N(int64(d)))
 }
--- a/submissions/dispatch/world_test.go
+++ b/submissions/dispatch/world_test.go
@@ -18,15 +18,16 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// The world holds a few entries and agents as their cores, in virtual time,
-// joined by connections that keep order but may break at any moment, with what
-// was under way lost from any point on. The journal records what reached the
-// backend servers; the checks look at it and at what callers were told.
+// world simulates a few entries and agents, represented by their cores, in
+// virtual time. Their connections keep messages in order, but may break at any
+// time and lose any tail of the messages in flight. startCount records the
+// starts of tasks at the backend servers; the checks compare it with the
+// answers that callers got.
 
 const (
-	clockBound = 100 * time.Millisecond
-	window     = 20 * time.Second
-	claimWait  = 200 * time.Millisecond
+	clockBound  = 100 * time.Millisecond
+	claimWindow = 20 * time.Second
+	claimWait   = 200 * time.Millisecond
 )
 
 type taskKey struct {
@@ -34,17 +35,17 @@
 	index      uint32
 }
 
-// pipe is one direction of a connection.
+// pipe is one direction of a connection, with the messages in flight.
 type pipe struct {
 	messages []wire.Message
-	broken   bool // after the messages comes the end of the connection
+	broken   bool // the connection ends after the messages
 	ended    bool // the receiver has seen the end
 }
 
 type conn struct {
-	entry    int    // the dialler
+	entry    int    // index of the entry that dialled
 	peer     string // address dialled
-	inName   string // name at a called entry
+	inName   string // name of the connection at a dialled entry
 	link     queue.Link
 	toPeer   pipe
 	toEntry  pipe
@@ -86,30 +87,30 @@
 }
 
 type world struct {
-	t       *rapid.T
-	rng     *rand.Rand
-	seen    *tally
-	now     time.Time
-	life    int // numbers incarnations and links
-	holders []string
-	entries []*simEntry
-	agents  []*simAgent
-	conns   []*conn
-	journal map[taskKey]int
-	subs    []*job.Submission
-	calls   map[uint64]*call
-	caller  uint64
-	notRun  map[string]bool // submissions that somebody was told did not run
-	// started and refused hold submissions with their content: what was started,
-	// and what somebody was told is other content that did not run.
+	t          *rapid.T
+	rng        *rand.Rand
+	events     *tally
+	now        time.Time
+	lastID     int // numbers incarnations and links
+	holders    []string
+	entries    []*simEntry
+	agents     []*simAgent
+	conns      []*conn
+	startCount map[taskKey]int
+	subs       []*job.Submission
+	calls      map[uint64]*call
+	caller     uint64
+	notRun     map[string]bool // IDs that some answer called not run
+	// started and refused have keys made of an ID and its content: content that was
+	// started, and content that an answer refused as mismatched and not run.
 	started map[string]bool
 	refused map[string]bool
 }
 
-func newWorld(t *rapid.T, seen *tally, entries, agents int) *world {
+func newWorld(t *rapid.T, events *tally, entries, agents int) *world {
 	w := &world{
-		t: t, seen: seen, rng: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)), now: time.Unix(1_800_000_000, 0),
-		journal: make(map[taskKey]int), calls: make(map[uint64]*call), notRun: make(map[string]bool),
+		t: t, events: events, rng: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)), now: time.Unix(1_800_000_000, 0),
+		startCount: make(map[taskKey]int), calls: make(map[uint64]*call), notRun: make(map[string]bool),
 		started: make(map[string]bool), refused: make(map[string]bool),
 	}
 	for i := range agents {
@@ -128,22 +129,22 @@
 	return w
 }
 
-// between draws evenly from low to high. It does not draw through rapid, which
-// favours small numbers and the ends of a range, and so some actions over
-// others; rapid's seed decides all the same.
-func (w *world) between(low, high int) int { return low + w.rng.IntN(high-low+1) }
+// randInt returns a uniformly distributed number from low to high. It does not
+// use rapid's generators, which favour small numbers and the ends of a range and
+// so would favour some actions; the generator used here is seeded by rapid.
+func (w *world) randInt(low, high int) int { return low + w.rng.IntN(high-low+1) }
 
-func (w *world) between64(low, high int64) int64 { return low + w.rng.Int64N(high-low+1) }
+func (w *world) randInt64(low, high int64) int64 { return low + w.rng.Int64N(high-low+1) }
 
 func (w *world) incarnation() string {
-	w.life++
-	return fmt.Sprintf("life-%d", w.life)
+	w.lastID++
+	return fmt.Sprintf("life-%d", w.lastID)
 }
 
-// drawOffset draws the difference of a box's clock to the true time; two boxes
-// differ by clockBound at most.
+// drawOffset returns a random offset of a box's clock from the true time; two
+// clocks differ by clockBound at most.
 func (w *world) drawOffset() time.Duration {
-	return time.Duration(w.between64(-int64(clockBound)/2, int64(clockBound)/2))
+	return time.Duration(w.randInt64(-int64(clockBound)/2, int64(clockBound)/2))
 }
 
 func (w *world) startAgent(i int) {
@@ -151,8 +152,8 @@
 	a.inc = w.incarnation()
 	a.offset = w.drawOffset()
 	a.paused, a.left, a.running = false, false, nil
-	a.queue = queue.New(queue.Limits{Slots: 2, Queue: 2, MaxRemembered: 1000, Window: window, ClockBound: clockBound, Hold: 10 * time.Millisecond}, w.seen)
-	limits := claim.Limits{Entries: 2, Window: window, ClockBound: clockBound}
+	a.queue = queue.New(queue.Limits{Slots: 2, Queue: 2, MaxRemembered: 1000, Window: claimWindow, ClockBound: clockBound, Hold: 10 * time.Millisecond}, w.events)
+	limits := claim.Limits{Entries: 2, Window: claimWindow, ClockBound: clockBound}
 	a.holder = claim.Holder{Table: claim.New(w.agentNow(a), limits), Assignment: claim.Assignment(w.holders)}
 }
 
@@ -177,7 +178,7 @@
 		PingWait:    100 * time.Millisecond,
 		SilentShare: 0.4,
 		Attempts:    3,
-		Bounces:     w.between(0, 2),
+		Bounces:     w.randInt(0, 2),
 		RetryRatio:  0.5,
 		RetryBurst:  10,
 		Backoff:     retry.Backoff{Base: 5 * time.Millisecond, Max: 50 * time.Millisecond},
@@ -185,7 +186,7 @@
 		KeepBytes:   10000,
 		KeepFor:     10 * time.Second,
 		MaxFetched:  1 << 20,
-	}, w.seen, rand.New(rand.NewPCG(1, uint64(w.life))))
+	}, w.events, rand.New(rand.NewPCG(1, uint64(w.lastID))))
 }
 
 func (w *world) entryNow(e *simEntry) time.Time { return w.now.Add(e.offset) }
@@ -209,7 +210,7 @@
 	return nil
 }
 
-// reconnect lets every running entry dial the agents it has no connection to.
+// reconnect makes every running entry dial the agents it is not connected to.
 func (w *world) reconnect() {
 	for i, e := range w.entries {
 		for _, h := range w.holders {
@@ -220,12 +221,12 @@
 	}
 }
 
-// dial connects entry i to an agent or to another entry, whose kernel accepts
-// even while the process is paused.
+// dial connects entry i to an agent or to another entry. It succeeds while that
+// process is paused, as its kernel accepts the connection.
 func (w *world) dial(i int, address string) {
 	e := w.entries[i]
-	w.life++
-	c := &conn{entry: i, peer: address, link: queue.Link(w.life), inName: fmt.Sprintf("in-%d", w.life), entryInc: e.inc}
+	w.lastID++
+	c := &conn{entry: i, peer: address, link: queue.Link(w.lastID), inName: fmt.Sprintf("in-%d", w.lastID), entryInc: e.inc}
 	hello := &wire.Hello{Role: wire.RoleEntry, Address: address}
 	if a := w.agentAt(address); a != nil {
 		c.peerInc = a.inc
@@ -242,12 +243,12 @@
 	w.flushEntry(e)
 }
 
-// breakConn cuts a connection: of what is under way in each direction, only a
-// part from the front still arrives.
+// breakConn breaks a connection. In each direction a random number of the first
+// messages in flight still arrives.
 func (w *world) breakConn(c *conn) {
 	for _, p := range []*pipe{&c.toPeer, &c.toEntry} {
 		if !p.broken {
-			p.messages = p.messages[:w.between(0, len(p.messages))]
+			p.messages = p.messages[:w.randInt(0, len(p.messages))]
 			p.broken = true
 		}
 	}
@@ -262,7 +263,8 @@
 	return w.entryAt(c.peer).inc == c.peerInc
 }
 
-// deliverToPeer hands the next message, or the end, to the dialled side.
+// deliverToPeer delivers the next message, or the end of the connection, to the
+// dialled side.
 func (w *world) deliverToPeer(c *conn) {
 	m, end := c.toPeer.next()
 	if a := w.agentAt(c.peer); a != nil {
@@ -341,33 +343,33 @@
 	}
 }
 
-// start hands a task to the backend server, which may be out of reach, and
-// which runs it whatever becomes of the agent.
+// start sends a task to the backend server, which may be unreachable. A task
+// that reached it runs even if the agent crashes.
 func (w *world) start(a *simAgent, t *queue.Task) {
 	if a.left {
 		w.t.Fatalf("agent %s starts work after leaving", a.address)
 	}
 	r := &running{task: t, outcome: w.drawOutcome(t)}
 	if r.outcome.Ran != failure.NotRun {
-		w.journal[taskKey{t.Submission, t.Index}]++
+		w.startCount[taskKey{t.Submission, t.Index}]++
 		w.started[t.Submission+string(t.Payload)] = true
 	}
-	if n := w.journal[taskKey{t.Submission, t.Index}]; n > 1 {
+	if n := w.startCount[taskKey{t.Submission, t.Index}]; n > 1 {
 		w.t.Fatalf("task %d of %s started %d times", t.Index, t.Submission, n)
 	}
 	a.running = append(a.running, r)
 }
 
 func (w *world) drawOutcome(t *queue.Task) queue.Outcome {
-	switch w.between(0, 9) {
+	switch w.randInt(0, 9) {
 	case 0:
-		w.seen.add("fault: backend unreachable")
+		w.events.add("fault: backend unreachable")
 		return queue.Outcome{Kind: failure.BackendUnreachable, Ran: failure.NotRun}
 	case 1:
-		w.seen.add("fault: backend connection lost")
+		w.events.add("fault: backend connection lost")
 		return queue.Outcome{Kind: failure.BackendLost, Ran: failure.RanUnknown}
 	case 2:
-		w.seen.add("fault: task failed")
+		w.events.add("fault: task failed")
 		return queue.Outcome{Kind: failure.TaskFailed, Ran: failure.DidRun}
 	}
 	return queue.Outcome{Ran: failure.DidRun, Body: []byte(body(t.Submission, int(t.Index)))}
@@ -386,7 +388,7 @@
 		w.sendFrom(e, s)
 	}
 	for _, d := range out.Deliveries {
-		w.answered(d)
+		w.checkDelivery(d)
 	}
 }
 
@@ -411,8 +413,8 @@
 	}
 }
 
-// answered checks what a caller is told.
-func (w *world) answered(d dispatch.Delivery) {
+// checkDelivery checks an answer to a caller.
+func (w *world) checkDelivery(d dispatch.Delivery) {
 	c := w.calls[d.Caller]
 	switch {
 	case c == nil || c.answer != nil:
@@ -422,12 +424,12 @@
 	}
 	c.answer = d.Answer
 	if d.Answer.Error == nil {
-		w.seen.add("answer: complete")
+		w.events.add("answer: complete")
 		w.checkComplete(c)
 		return
 	}
 	e := d.Answer.Error
-	w.seen.add("answer: " + e.Kind + ", " + e.Ran)
+	w.events.add("answer: " + e.Kind + ", " + e.Ran)
 	if len(d.Answer.Results) != 0 {
 		w.t.Fatalf("a failed job has results")
 	}
@@ -452,19 +454,22 @@
 	}
 }
 
-// content tells the copies of a submission apart that have other content.
+// content returns a string that differs for submissions of the same ID with
+// different content.
 func content(s *job.Submission) string { return fmt.Sprintf("/%x", s.Digest[0]) }
 
-// checkNotRun looks for starts of submissions that are said not to have run.
+// checkNotRun fails the test if a task was started of a submission that some
+// answer called not run.
 func (w *world) checkNotRun() {
-	for key, n := range w.journal {
+	for key, n := range w.startCount {
 		if n > 0 && w.notRun[key.submission] {
 			w.t.Fatalf("%s is said not to have run, but task %d was started", key.submission, key.index)
 		}
 	}
 }
 
-// checkRefused looks for starts of content that was called other content.
+// checkRefused fails the test if content was started that an answer refused as
+// mismatched and not run.
 func (w *world) checkRefused() {
 	for key := range w.refused {
 		if w.started[key] {
@@ -473,7 +478,8 @@
 	}
 }
 
-// tally counts what a run has met; it is the cores' dispatch.Counter too.
+// tally counts the events of a run by name. It implements dispatch.Counter, and
+// panics when a promise is violated.
 type tally struct {
 	counts map[string]int
 }
