--- a/submissions/claim/bench_test.go
+++ b/submissions/claim/bench_test.go
@@ -16,7 +16,7 @@
 		n++
 		id := fmt.Sprintf("s%d@%d", n, now.UnixMilli())
 		if t.Claim(now, claim.Request{ID: id, Digest: "d", Owner: one}).Verdict != claim.Granted {
-			now = now.Add(time.Second) // the fence rose past this time, for want of room
+			now = now.Add(time.Second) // the table was full, and MinTime rose past this time
 		}
 	}
 }
--- a/submissions/claim/claim_test.go
+++ b/submissions/claim/claim_test.go
@@ -32,7 +32,7 @@
 var _ = Describe("a holder's table", func() {
 	var t *claim.Table
 	var now time.Time
-	ask := func(id, digest string, o claim.Owner, seq uint64) claim.Reply {
+	claimID := func(id, digest string, o claim.Owner, seq uint64) claim.Reply {
 		return t.Claim(now, claim.Request{ID: id, Digest: digest, Owner: o, Seq: seq})
 	}
 	BeforeEach(func() {
@@ -40,51 +40,51 @@
 		now = start.Add(2 * time.Second)
 	})
 
-	It("grants an ID once and names its owner ever after", func() {
-		Expect(ask(id(now), "x", one, 5).Verdict).To(Equal(claim.Granted))
-		Expect(ask(id(now), "x", two, 1)).To(Equal(claim.Reply{Verdict: claim.Held, Owner: one, Seq: 5}))
-		Expect(ask(id(now), "y", two, 1).Verdict).To(Equal(claim.Mismatch))
+	It("grants an ID once and then returns its owner", func() {
+		Expect(claimID(id(now), "x", one, 5).Verdict).To(Equal(claim.Granted))
+		Expect(claimID(id(now), "x", two, 1)).To(Equal(claim.Reply{Verdict: claim.Held, Owner: one, Seq: 5}))
+		Expect(claimID(id(now), "y", two, 1).Verdict).To(Equal(claim.Mismatch))
 		Expect(t.Lookup(now, id(now)).Verdict).To(Equal(claim.Held))
 		Expect(t.Lookup(now, "other@"+id(now)[2:]).Verdict).To(Equal(claim.Absent))
 	})
 
-	It("grants nothing that a predecessor may have granted", func() {
+	It("grants no ID that an earlier process may have granted", func() {
 		Expect(t.MinTime()).To(Equal(start.Add(2 * bound)))
-		Expect(ask(id(t.MinTime().Add(-time.Millisecond)), "x", one, 1).Verdict).To(Equal(claim.Unknown))
-		Expect(ask(id(t.MinTime()), "x", one, 1).Verdict).To(Equal(claim.Granted))
+		Expect(claimID(id(t.MinTime().Add(-time.Millisecond)), "x", one, 1).Verdict).To(Equal(claim.Unknown))
+		Expect(claimID(id(t.MinTime()), "x", one, 1).Verdict).To(Equal(claim.Granted))
 	})
 
-	It("grants nothing from beyond the clock bound or the window", func() {
-		Expect(ask(id(now.Add(bound)), "x", one, 1).Verdict).To(Equal(claim.Granted))
-		Expect(ask(id(now.Add(bound+time.Millisecond)), "x", one, 1).Verdict).To(Equal(claim.TooEarly))
+	It("grants no ID whose time is outside the window or the clock bound", func() {
+		Expect(claimID(id(now.Add(bound)), "x", one, 1).Verdict).To(Equal(claim.Granted))
+		Expect(claimID(id(now.Add(bound+time.Millisecond)), "x", one, 1).Verdict).To(Equal(claim.TooEarly))
 		now = now.Add(2 * time.Minute)
-		Expect(ask(id(start.Add(2*time.Second)), "x", one, 1).Verdict).To(Equal(claim.Unknown))
-		Expect(ask("no time", "x", one, 1).Verdict).To(Equal(claim.Unknown))
+		Expect(claimID(id(start.Add(2*time.Second)), "x", one, 1).Verdict).To(Equal(claim.Unknown))
+		Expect(claimID("no time", "x", one, 1).Verdict).To(Equal(claim.Unknown))
 	})
 
-	It("never grants again what it forgot for want of room", func() {
+	It("never grants an ID again whose grant was removed because the table was full", func() {
 		var ids []string
 		for i := range 5 {
 			ids = append(ids, id(now.Add(time.Duration(i)*time.Millisecond)))
-			Expect(ask(ids[i], "x", one, 1).Verdict).To(Equal(claim.Granted))
+			Expect(claimID(ids[i], "x", one, 1).Verdict).To(Equal(claim.Granted))
 		}
 		kept, evicted := t.Len()
 		Expect(kept).To(Equal(3))
 		Expect(evicted).To(Equal(uint64(2)))
-		Expect(ask(ids[0], "x", two, 1).Verdict).To(Equal(claim.Unknown))
-		Expect(ask(ids[4], "x", two, 1).Verdict).To(Equal(claim.Held))
+		Expect(claimID(ids[0], "x", two, 1).Verdict).To(Equal(claim.Unknown))
+		Expect(claimID(ids[4], "x", two, 1).Verdict).To(Equal(claim.Held))
 	})
 
-	It("forgets by age, not before a clock set back by the bound is past it", func() {
+	It("removes a grant only when a clock set back by the bound cannot make its ID valid again", func() {
 		old := id(now)
-		Expect(ask(old, "x", one, 1).Verdict).To(Equal(claim.Granted))
+		Expect(claimID(old, "x", one, 1).Verdict).To(Equal(claim.Granted))
 		now = now.Add(limits.Window + bound)
-		Expect(ask(old, "x", two, 1).Verdict).To(Equal(claim.Held))
+		Expect(claimID(old, "x", two, 1).Verdict).To(Equal(claim.Held))
 		now = now.Add(2 * bound)
-		Expect(ask(old, "x", two, 1).Verdict).To(Equal(claim.Unknown))
+		Expect(claimID(old, "x", two, 1).Verdict).To(Equal(claim.Unknown))
 	})
 
-	It("refuses claims by another list of holders", func() {
+	It("refuses claims made with another list of holders", func() {
 		h := claim.Holder{Table: t, Assignment: claim.Assignment([]string{"a", "b"})}
 		m := &wire.Claim{Seq: 1, Submission: id(now), Assignment: claim.Assignment([]string{"a"})}
 		Expect(h.Serve(now, one, m).Verdict).To(Equal(uint8(claim.NotHolder)))
@@ -94,7 +94,7 @@
 })
 
 var _ = Describe("IDs", func() {
-	It("carry their time as UUIDv7 or after an @", func() {
+	It("carry their time in a UUIDv7 or after an @", func() {
 		u := uuid.Must(uuid.NewV7())
 		at, ok := claim.IDTime(u.String())
 		Expect(ok).To(BeTrue())
@@ -104,7 +104,7 @@
 		Expect(at).To(Equal(start.Add(123 * time.Millisecond)))
 	})
 
-	DescribeTable("without a time are known as such", func(s string) {
+	DescribeTable("without a valid time are rejected", func(s string) {
 		_, ok := claim.IDTime(s)
 		Expect(ok).To(BeFalse())
 	},
@@ -112,7 +112,7 @@
 		Entry("a negative number", "a@-5"), Entry("a huge number", "a@99999999999999999999"),
 		Entry("UUIDv4", "f47ac10b-58cc-4372-a567-0e02b2c3d479"), Entry("nothing", ""))
 
-	It("have one holder each, spread evenly, and keep it when another leaves", func() {
+	It("have one holder each, are spread evenly, and keep their holder when another is removed", func() {
 		var members []string
 		for i := range 10 {
 			members = append(members, fmt.Sprintf("10.0.0.%d:7071", i))
--- a/submissions/claim/holder.go
+++ b/submissions/claim/holder.go
@@ -9,12 +9,12 @@
 // Holder answers claim messages from a table.
 type Holder struct {
 	*Table
-	// Assignment is the digest of the list of holders that this process goes
-	// by; claims by another list are refused.
+	// Assignment is the digest of the list of holders that this process is
+	// configured with; claims made with another list are refused.
 	Assignment uint64
 }
 
-// Serve answers m, which came from the owner.
+// Serve returns the reply to a claim or lookup that the entry owner sent.
 func (h Holder) Serve(now time.Time, owner Owner, m *wire.Claim) *wire.ClaimReply {
 	r := h.decide(now, owner, m)
 	return &wire.ClaimReply{
--- a/submissions/claim/id.go
+++ b/submissions/claim/id.go
@@ -1,8 +1,10 @@
-// Package claim decides who may start a submission. Every submission ID has
-// one holder among the agents, which grants it to the first entry that asks
-// and remembers to whom. IDs carry the time at which they were made, so that a
-// holder with a fresh memory can tell an ID that is new from one that its
-// predecessor may have granted. The package does no I/O.
+// Package claim decides which entry may start a submission. Every submission ID
+// has one holder among the agents, which grants the ID to the first entry that
+// claims it and records that entry. An ID carries the time of its creation, by
+// which a restarted holder, whose table is empty, tells new IDs from those that
+// the process before it may have granted. The package owns the holder's table
+// and relies on a bound on the difference between the clocks of the boxes. It
+// does no I/O.
 package claim
 
 import (
@@ -15,17 +17,18 @@
 	"github.com/google/uuid"
 )
 
-// AllowedID says in words which IDs carry a time.
+// AllowedID describes the valid forms of an ID, for error messages.
 const AllowedID = "a UUIDv7, or a name, '@' and the Unix time in milliseconds; 64 characters at most"
 
 const (
 	timeMark     = "@"
-	uuidV7       = 7 // version of UUIDs that carry a time
+	uuidV7       = 7 // the version of UUIDs that carry a time
 	hashSepBytes = "\x00"
-	hashBytes    = 8 // of one of the two hashes that the holder is chosen by
+	hashBytes    = 8 // size of the hash of a member or an ID
 )
 
-// IDTime returns the time that an ID carries, to the millisecond.
+// IDTime returns the time that an ID carries, with a precision of 1 ms; ok is
+// false if it carries none.
 func IDTime(id string) (t time.Time, ok bool) {
 	if name, ms, found := strings.Cut(id, timeMark); found {
 		n, err := strconv.ParseUint(ms, 10, 62)
@@ -38,7 +41,8 @@
 	return time.UnixMilli(uuidMillis(u)), true
 }
 
-// uuidMillis reads the first 48 bits of a UUIDv7 (RFC 9562, section 5.7).
+// uuidMillis returns the Unix time in milliseconds that the first 48 bits of a
+// UUIDv7 hold (RFC 9562, section 5.7).
 func uuidMillis(u uuid.UUID) int64 {
 	var ms int64
 	for _, b := range u[:6] {
@@ -47,8 +51,8 @@
 	return ms
 }
 
-// HolderOf returns the member responsible for the ID: the one with the highest
-// hash of member and ID (rendezvous hashing). It returns "" for no members.
+// HolderOf returns the member that holds the ID: the one with the highest hash
+// of member and ID (rendezvous hashing). It returns "" if there are no members.
 func HolderOf(id string, members []string) string {
 	var best string
 	var top uint64
@@ -64,8 +68,9 @@
 	return best
 }
 
-// Assignment returns the digest of a list of members. Processes that go by
-// different lists must not claim at each other.
+// Assignment returns the digest of a list of members. A holder refuses claims
+// from entries configured with another list, since they may choose different
+// holders for the same ID.
 func Assignment(members []string) uint64 {
 	return xxhash.Sum64String(strings.Join(members, hashSepBytes))
 }
--- a/submissions/claim/table.go
+++ b/submissions/claim/table.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// Verdict is a holder's answer to a claim.
+// Verdict is the result of a claim or lookup.
 type Verdict uint8
 
-// The verdicts. Only Granted allows anything to be started.
+// The verdicts. Only Granted allows the claiming entry to start the submission.
 const (
-	// Unknown: the ID may have been granted by a memory that is lost.
+	// Unknown: the table cannot tell whether the ID was granted before, because
+	// the ID is older than its records or carries no time.
 	Unknown Verdict = iota
-	// Granted: nobody was granted the ID before and nobody will be after.
+	// Granted: the ID was never granted before and will never be granted again.
 	Granted
-	// Held: the owner named in the reply was granted the ID.
+	// Held: the ID was granted before, to the owner named in the reply.
 	Held
-	// Mismatch: the ID was granted for other content.
+	// Mismatch: the ID was granted before, for a submission with other content.
 	Mismatch
-	// TooEarly: the ID carries a time too far in the future.
+	// TooEarly: the time of the ID is further in the future than ClockBound.
 	TooEarly
-	// NotHolder: the asked process goes by another list of holders.
+	// NotHolder: the holder is configured with another list of holders.
 	NotHolder
-	// Absent answers a lookup only: the ID was not granted so far.
+	// Absent: the ID was not granted so far. It is returned for lookups only.
 	Absent
 )
 
 var verdictNames = []string{"unknown", "granted", "held", "mismatch", "too_early", "not_holder", "absent"}
 
-// String returns the verdict's name, as used in metric labels.
+// String returns the name of the verdict as it is used in metric labels.
 func (v Verdict) String() string {
 	if int(v) >= len(verdictNames) {
 		return "unknown"
@@ -41,18 +42,18 @@
 	return []Verdict{Unknown, Granted, Held, Mismatch, TooEarly, NotHolder, Absent}
 }
 
-// Limits bounds a table.
+// Limits holds the limits of a table.
 type Limits struct {
-	Entries int // claims remembered
-	// Window is how long a claim is remembered, by the time that its ID
-	// carries. Older IDs are Unknown for good.
+	Entries int // grants in the table
+	// Window is how long a grant is recorded, counted from the time of its ID.
+	// An ID older than that is Unknown.
 	Window time.Duration
-	// ClockBound is the greatest difference between two clocks of the system
-	// that the promise bears. It is checked between processes when they meet.
+	// ClockBound is the greatest difference between the clocks of two boxes up
+	// to which no ID is granted twice. Processes check it when they connect.
 	ClockBound time.Duration
 }
 
-// Owner is an entry, as one life of its process.
+// Owner identifies one incarnation of an entry's process.
 type Owner struct {
 	Address     string
 	Incarnation string
@@ -61,17 +62,17 @@
 // Request is a claim by an entry.
 type Request struct {
 	ID     string
-	Digest string // of the content
+	Digest string // of the submission's content
 	Owner  Owner
-	Seq    uint64 // the entry's number for this claim, unique in its incarnation
+	Seq    uint64 // sequence number of the claim, unique in the entry's incarnation
 }
 
-// Reply is the answer to a claim.
+// Reply is the answer to a claim or lookup.
 type Reply struct {
 	Verdict Verdict
-	Owner   Owner  // when Granted, Held or Mismatch
-	Seq     uint64 // of the claim that was granted; tells an owner which it was
-	Reason  string // when Unknown
+	Owner   Owner  // set when Granted, Held or Mismatch
+	Seq     uint64 // Request.Seq of the granted claim, by which its owner recognises the claim
+	Reason  string // set when Unknown
 }
 
 type grant struct {
@@ -79,54 +80,54 @@
 	at time.Time // the time that the ID carries
 }
 
-// Table is the memory of one holder. It is not safe for use by several
-// goroutines.
+// Table records the grants of one holder. It is not safe for concurrent use.
 //
-// The table never grants an ID that carries a time before since: a predecessor
-// at the same address granted only IDs up to its own time plus ClockBound, and
-// its clock and ours differ by ClockBound at most, so that since, our start
-// plus twice the bound, lies beyond all that it can have granted. When a grant
-// is forgotten for want of room, since rises past it.
+// The table never grants an ID whose time is before floor. An earlier process at
+// the same address granted only IDs with times up to its own time plus
+// ClockBound, and its clock differs from this one by ClockBound at most. So the
+// initial floor, the start of this process plus twice ClockBound, is later
+// than the time of any ID that the earlier process can have granted. When a
+// grant is removed, floor rises past the time of its ID.
 type Table struct {
 	limits  Limits
-	since   time.Time
+	floor   time.Time                // the earliest time of an ID that can be granted
 	byID    map[string]*list.Element // of grant
 	order   *list.List               // in the order of granting
 	evicted uint64
 }
 
-// New returns the empty table of a process that starts now.
+// New returns an empty table for a process that starts at now.
 func New(now time.Time, l Limits) *Table {
 	return &Table{
 		limits: l,
-		since:  now.Add(2 * l.ClockBound),
+		floor:  now.Add(2 * l.ClockBound),
 		byID:   make(map[string]*list.Element),
 		order:  list.New(),
 	}
 }
 
-// MinTime returns the time from which IDs can be granted.
-func (t *Table) MinTime() time.Time { return t.since }
+// MinTime returns the earliest time of an ID that can be granted.
+func (t *Table) MinTime() time.Time { return t.floor }
 
-// Len returns the number of claims remembered, and how many were forgotten
-// for want of room.
+// Len returns the number of grants in the table and how many were removed
+// because the table was full.
 func (t *Table) Len() (claims int, evicted uint64) { return t.order.Len(), t.evicted }
 
-// Claim grants the ID to the owner, or says why not.
+// Claim grants the ID to the owner, or returns the verdict that forbids it.
 func (t *Table) Claim(now time.Time, q Request) Reply {
 	t.expire(now)
 	if r, found := t.find(q.ID, q.Digest); found {
 		return r
 	}
 	at, ok := IDTime(q.ID)
-	if r := t.judge(now, at, ok); r.Verdict != Absent {
+	if r := t.checkTime(now, at, ok); r.Verdict != Absent {
 		return r
 	}
 	t.add(grant{Request: q, at: at})
 	return Reply{Verdict: Granted, Owner: q.Owner, Seq: q.Seq}
 }
 
-// Lookup says who holds the ID, whatever its content, without claiming it.
+// Lookup returns the owner of the ID, whatever its content, and grants nothing.
 func (t *Table) Lookup(now time.Time, id string) Reply {
 	t.expire(now)
 	if e, ok := t.byID[id]; ok {
@@ -134,7 +135,7 @@
 		return Reply{Verdict: Held, Owner: g.Owner, Seq: g.Seq}
 	}
 	at, ok := IDTime(id)
-	return t.judge(now, at, ok)
+	return t.checkTime(now, at, ok)
 }
 
 func (t *Table) find(id, digest string) (Reply, bool) {
@@ -149,8 +150,9 @@
 	return Reply{Verdict: Held, Owner: g.Owner, Seq: g.Seq}, true
 }
 
-// judge says what the time of an ID that is not remembered allows.
-func (t *Table) judge(now, at time.Time, ok bool) Reply {
+// checkTime returns the verdict on an ID that is not in the table: Absent if its
+// time at allows a grant. ok is false if the ID carries no time.
+func (t *Table) checkTime(now, at time.Time, ok bool) Reply {
 	switch {
 	case !ok:
 		return Reply{Verdict: Unknown, Reason: "the ID carries no time"}
@@ -158,7 +160,7 @@
 		return Reply{Verdict: TooEarly}
 	case now.Sub(at) > t.limits.Window:
 		return Reply{Verdict: Unknown, Reason: "the ID is older than the window in which resends are known"}
-	case at.Before(t.since):
+	case at.Before(t.floor):
 		return Reply{Verdict: Unknown, Reason: "the holder's memory begins after the time that the ID carries"}
 	}
 	return Reply{Verdict: Absent}
@@ -172,8 +174,9 @@
 	}
 }
 
-// expire forgets claims whose IDs are older than the window by so much that a
-// clock set back by ClockBound cannot bring them into it again.
+// expire removes the oldest grants whose IDs are older than the window plus
+// twice ClockBound, so that a clock set back by ClockBound cannot make such an
+// ID valid again.
 func (t *Table) expire(now time.Time) {
 	edge := now.Add(-t.limits.Window - 2*t.limits.ClockBound)
 	for e := t.order.Front(); e != nil && e.Value.(grant).at.Before(edge); e = t.order.Front() {
@@ -184,7 +187,7 @@
 func (t *Table) dropOldest() {
 	g := t.order.Remove(t.order.Front()).(grant)
 	delete(t.byID, g.ID)
-	if after := g.at.Add(time.Millisecond); after.After(t.since) {
-		t.since = after
+	if after := g.at.Add(time.Millisecond); after.After(t.floor) {
+		t.floor = after
 	}
 }
