--- a/submissions/queue/bench_test.go
+++ b/submissions/queue/bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// BenchmarkTask takes one task from its message to its result.
+// BenchmarkTask handles one task from its wire.Place to its result.
 func BenchmarkTask(b *testing.B) {
-	q := queue.New(queue.Limits{Slots: 8, Queue: 256, MaxRemembered: 50000, Window: time.Hour}, panics{})
+	q := queue.New(queue.Limits{Slots: 8, Queue: 256, MaxRemembered: 50000, Window: time.Hour}, panicAsserter{})
 	now := time.Unix(1_800_000_000, 0)
 	m := &wire.Place{Submission: "s@1", MaxQueue: wire.NoQueueLimit, BudgetMicros: 1e9, DeadlineUnix: now.Add(time.Hour).UnixMicro(), Tasks: make([]wire.Task, 1)}
 	for b.Loop() {
--- a/submissions/queue/fair.go
+++ b/submissions/queue/fair.go
@@ -5,49 +5,49 @@
 	"time"
 )
 
-// fair is a queue that serves workspaces in turn. Within a workspace a task stands by the
-// time of its coming plus a handicap for each task of its job that came with
-// it, so that a single task does not wait behind a burst of 150 while jobs of
-// like size keep the order of their coming, and no job is overtaken for longer
-// than its own handicap.
-type fair struct {
-	// inOrder makes it a plain first-in first-out queue.
-	inOrder    bool
-	workspaces []*workspaceQueue // the one to be served next is first
+// fairQueue serves workspaces by round robin. Within a workspace it orders tasks by virtual
+// deadline: the time of arrival plus delayPerTask for each task of the job that arrived with it. A
+// single task so does not wait behind a burst of 150 tasks, jobs of similar size keep the order of
+// their arrival, and a task is overtaken only by tasks that arrive within its job's added delay.
+type fairQueue struct {
+	// fifo makes it a plain first-in first-out queue across all workspaces.
+	fifo       bool
+	workspaces []*workspaceQueue // those with waiting tasks; the first is served next
 	n          int
 }
 
-// handicap is about what a task costs those behind it: its time divided by the slots that
-// work. A task of 100 ms over ten slots.
-const handicap = 10 * time.Millisecond
+// delayPerTask is about the time by which a task delays those behind it, its run time divided by
+// the number of slots: 100 ms over ten slots.
+const delayPerTask = 10 * time.Millisecond
 
 type workspaceQueue struct {
 	name  string
-	tasks []*Task // by their turn
+	tasks []*Task // in the order of virtualDeadline
 }
 
-func (f *fair) len() int { return f.n }
+func (f *fairQueue) len() int { return f.n }
 
-// push adds a task that came now with others of its job, size in all.
-func (f *fair) push(now time.Time, t *Task, size int) {
+// push adds a task that arrived at now together with others of its job; size is
+// their number, the task included.
+func (f *fairQueue) push(now time.Time, t *Task, size int) {
 	f.n++
-	t.turn = now
+	t.virtualDeadline = now
 	name := ""
-	if !f.inOrder {
-		t.turn = now.Add(time.Duration(size) * handicap)
+	if !f.fifo {
+		t.virtualDeadline = now.Add(time.Duration(size) * delayPerTask)
 		name = t.Workspace
 	}
 	q := f.workspace(name)
-	at, _ := slices.BinarySearchFunc(q.tasks, t.turn, func(other *Task, turn time.Time) int {
-		if other.turn.After(turn) {
+	at, _ := slices.BinarySearchFunc(q.tasks, t.virtualDeadline, func(other *Task, d time.Time) int {
+		if other.virtualDeadline.After(d) {
 			return 1
 		}
-		return -1 // behind those of the same turn
+		return -1 // insert after equal deadlines
 	})
 	q.tasks = slices.Insert(q.tasks, at, t)
 }
 
-func (f *fair) workspace(name string) *workspaceQueue {
+func (f *fairQueue) workspace(name string) *workspaceQueue {
 	for _, q := range f.workspaces {
 		if q.name == name {
 			return q
@@ -58,8 +58,8 @@
 	return q
 }
 
-// pop removes the task to be served next; nil when there is none.
-func (f *fair) pop() *Task {
+// pop removes and returns the next task, or nil if the queue is empty.
+func (f *fairQueue) pop() *Task {
 	if f.n == 0 {
 		return nil
 	}
@@ -75,8 +75,9 @@
 	return t
 }
 
-// remove takes out the tasks that match and returns them, by workspace and turn.
-func (f *fair) remove(match func(*Task) bool) []*Task {
+// remove removes the tasks that match and returns them, by workspace and then by
+// virtual deadline.
+func (f *fairQueue) remove(match func(*Task) bool) []*Task {
 	var out []*Task
 	for _, q := range f.workspaces {
 		q.tasks = slices.DeleteFunc(q.tasks, func(t *Task) bool {
--- a/submissions/queue/hold.go
+++ b/submissions/queue/hold.go
@@ -8,19 +8,19 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// Answers of one job that end here within a short time go out together: the
-// entry can answer nobody before it has them all.
+// Results of the same job that arrive within Limits.Hold are sent together: the
+// entry cannot answer the caller before it has all of them anyway.
 
 type jobKey struct {
 	link Link
 	job  uint64
 }
 
-// jobState is what is kept for each job that has tasks or answers here.
+// jobState is the state of a job that has tasks or held results at this agent.
 type jobState struct {
-	open  int           // its tasks, queued or running
-	held  []wire.Result // its answers that wait for the others
-	since time.Time     // when the first of them came
+	unfinished int           // number of its tasks that are queued or running
+	held       []wire.Result // results that wait for those of its other tasks
+	heldSince  time.Time     // when the first of them was held
 }
 
 func (q *Queue) job(t *Task) *jobState {
@@ -33,43 +33,44 @@
 	return s
 }
 
-// answer sends the result of a task that ran, at once when it failed or was the
-// last one of its job here, else within Hold.
-func (q *Queue) answer(now time.Time, t *Task, r wire.Result) {
+// holdResult holds the result of a started task for up to Hold. If the task
+// failed or was the last one of its job here, the job's held results are sent
+// by the next Take.
+func (q *Queue) holdResult(now time.Time, t *Task, r wire.Result) {
 	s := q.job(t)
 	if len(s.held) == 0 {
-		s.since = now
-		q.holding = append(q.holding, jobKey{t.Link, t.Job})
+		s.heldSince = now
+		q.heldJobs = append(q.heldJobs, jobKey{t.Link, t.Job})
 	}
 	s.held = append(s.held, r)
-	if failure.Kind(r.Kind) != failure.None || s.open == 0 {
-		s.since = now.Add(-q.limits.Hold)
+	if failure.Kind(r.Kind) != failure.None || s.unfinished == 0 {
+		s.heldSince = now.Add(-q.limits.Hold)
 	}
 }
 
-// sendHeld sends the answers that need not wait any longer.
-func (q *Queue) sendHeld(now time.Time) {
-	q.holding = slices.DeleteFunc(q.holding, func(k jobKey) bool {
+// sendHeldResults sends the results whose hold time is over.
+func (q *Queue) sendHeldResults(now time.Time) {
+	q.heldJobs = slices.DeleteFunc(q.heldJobs, func(k jobKey) bool {
 		s := q.jobs[k]
-		if s == nil || now.Sub(s.since) < q.limits.Hold {
+		if s == nil || now.Sub(s.heldSince) < q.limits.Hold {
 			return s == nil
 		}
 		for _, r := range s.held {
 			q.send(k.link, r)
 		}
 		s.held = nil
-		if s.open == 0 {
+		if s.unfinished == 0 {
 			delete(q.jobs, k)
 		}
 		return true
 	})
 }
 
-// closeTask notes that a task of the job is no longer queued or running.
-func (q *Queue) closeTask(t *Task) {
+// taskEnded records that a task of the job is no longer queued or running.
+func (q *Queue) taskEnded(t *Task) {
 	s := q.job(t)
-	s.open--
-	if s.open == 0 && len(s.held) == 0 {
+	s.unfinished--
+	if s.unfinished == 0 && len(s.held) == 0 {
 		delete(q.jobs, jobKey{t.Link, t.Job})
 	}
 }
--- a/submissions/queue/queue.go
+++ b/submissions/queue/queue.go
@@ -1,7 +1,8 @@
-// Package queue is the core of an agent: the bounded queue and the slots of
-// one backend server, and the state of each task from queued to its end. It
-// does no I/O; the present time is an argument. Only this state machine says
-// that a task which reached the agent did not run.
+// Package queue is the core of an agent: it owns the bounded queue and the
+// slots of one backend server, and the state of each task from its arrival to
+// its end. It does no I/O; the current time is an argument. Only this state
+// machine reports that a task which reached the agent did not run. It relies on
+// its caller to start the tasks that Take returns and to report their ends.
 package queue
 
 import (
@@ -14,18 +15,18 @@
 // Link numbers a connection to an entry, unique in the agent's lifetime.
 type Link uint64
 
-// Key identifies a task by where its result goes.
+// Key identifies a task by the receiver of its result.
 type Key struct {
 	Link  Link
 	Job   uint64
 	Index uint32
 }
 
-// State is where a task stands.
+// State is the state of a task.
 type State uint8
 
-// The states of a task. Finished and Refused are final; a refused task never
-// ran, whether it was refused on arrival, cancelled or expired in the queue.
+// The states of a task. Finished and Refused are final. A refused task never
+// ran: it was refused on arrival, cancelled, or expired in the queue.
 const (
 	Queued State = iota
 	Started
@@ -33,7 +34,7 @@
 	Refused
 )
 
-// Task is a task that the agent holds.
+// Task is a task at the agent.
 type Task struct {
 	Key
 	Submission    string
@@ -44,46 +45,47 @@
 	NotRepeatable bool
 	StartedAt     time.Time
 
-	turn time.Time // its place in the queue
+	virtualDeadline time.Time // the queue's order within a workspace
 
 	state State
 }
 
-// State returns where the task stands.
+// State returns the state of the task.
 func (t *Task) State() State { return t.state }
 
 func (t *Task) id() taskID { return taskID{t.Submission, t.Index} }
 
-// Limits bounds what the agent holds.
+// Limits holds the limits and the order of the queue.
 type Limits struct {
 	Slots         int           // tasks running at once
 	Queue         int           // tasks waiting
-	MaxRemembered int           // past tasks remembered, so that none starts twice
-	Window        time.Duration // how long a past task is remembered
-	// ClockBound is the greatest difference to an entry's clock.
+	MaxRemembered int           // tasks recorded, so that none is started twice
+	Window        time.Duration // how long a task is recorded
+	// ClockBound is the greatest difference from an entry's clock.
 	ClockBound time.Duration
-	// Hold is how long an answer may wait for those of the same job's other
-	// tasks here, without which the job cannot be answered anyway.
+	// Hold is how long a result may be held until those of the job's other tasks
+	// here are known, without which the job cannot be answered anyway.
 	Hold time.Duration
-	// FIFO serves tasks as they came, in place of workspaces in turn and small jobs
-	// first.
+	// FIFO serves tasks in the order of arrival, instead of workspaces by round
+	// robin and small jobs first.
 	FIFO bool
 }
 
-// Report is a result for one link.
+// Report is a result to send on a link.
 type Report struct {
 	Link   Link
 	Result wire.Result
 }
 
-// Effects is what the caller has to do after events: start tasks on the
-// backend server and send results.
+// Effects lists what the caller has to do after events: the tasks to start on
+// the backend server and the results to send.
 type Effects struct {
 	Start   []*Task
 	Reports []Report
 }
 
-// Outcome is what became of a started task.
+// Outcome is the end of a task. Kind is failure.None when it succeeded, with the
+// result in Body.
 type Outcome struct {
 	Kind   failure.Kind
 	Ran    failure.Ran
@@ -91,7 +93,7 @@
 	Body   []byte
 }
 
-// The promises that are asserted while the program runs.
+// The promises that are asserted at run time.
 const (
 	promiseNotRun = "not_run_after_start"
 	promiseOnce   = "started_twice"
@@ -101,32 +103,31 @@
 // Promises returns every promise that Asserter.Violated can be given.
 func Promises() []string { return []string{promiseNotRun, promiseOnce, promiseEnd} }
 
-// Asserter is told when a promise of the program is found broken. Tests panic;
-// daemons count and log. The queue then does what is safe.
+// Asserter handles the violation of a promise: tests panic, daemons count and
+// log it. The queue then continues without starting or answering a task twice.
 type Asserter interface {
 	Violated(promise string)
 }
 
-// Queue holds the tasks of one agent. It is not safe for use by several
-// goroutines.
+// Queue holds the tasks of one agent. It is not safe for concurrent use.
 type Queue struct {
-	limits  Limits
-	assert  Asserter
-	waiting fair
-	tasks   map[Key]*Task
-	links   map[Link]*linkState
-	jobs    map[jobKey]*jobState
-	holding []jobKey // jobs with answers that wait, in the order of their coming
-	running int
-	leaving bool
-	seen    *memory
-	out     Effects
+	limits   Limits
+	assert   Asserter
+	waiting  fairQueue
+	tasks    map[Key]*Task
+	links    map[Link]*linkState
+	jobs     map[jobKey]*jobState
+	heldJobs []jobKey // jobs with held results, in the order of the first result
+	running  int
+	leaving  bool
+	seen     *seenTasks
+	out      Effects
 }
 
-// linkState is what is kept for each connection.
+// linkState is the state of a connection.
 type linkState struct {
-	held    uint32 // its tasks, queued or running
-	lastSeq uint64 // of its last Place
+	held    uint32 // number of its tasks that are queued or running
+	lastSeq uint64 // sequence number of its last wire.Place
 }
 
 // New returns an empty queue.
@@ -134,17 +135,17 @@
 	return &Queue{
 		limits:  l,
 		assert:  a,
-		waiting: fair{inOrder: l.FIFO},
+		waiting: fairQueue{fifo: l.FIFO},
 		tasks:   make(map[Key]*Task),
 		links:   make(map[Link]*linkState),
 		jobs:    make(map[jobKey]*jobState),
-		seen:    newMemory(l.MaxRemembered, l.Window),
+		seen:    newSeenTasks(l.MaxRemembered, l.Window),
 	}
 }
 
-// Place takes the tasks of p, each of which is queued or refused. It returns
-// false when p was taken before: a task that was refused as not run may not
-// start by a copy of its message.
+// Place queues or refuses each task of p. It returns false, and does nothing, if
+// p was handled before: a task that was refused as not run must not start
+// because its message arrives again.
 func (q *Queue) Place(now time.Time, from Link, p *wire.Place) bool {
 	l := q.link(from)
 	if p.Seq <= l.lastSeq {
@@ -167,9 +168,9 @@
 	return true
 }
 
-// deadline is the time at which the message was received plus the time left,
-// unless it was long on the way or we were paused: then the sender's clock
-// tells, within the bound.
+// deadline returns the deadline of the tasks of p: the time of receipt plus the
+// remaining time that p carries. If the message was delayed, or this process was
+// paused, the sender's absolute deadline plus ClockBound is earlier and applies.
 func (q *Queue) deadline(now time.Time, p *wire.Place) time.Time {
 	relative := now.Add(time.Duration(p.BudgetMicros) * time.Microsecond)
 	absolute := time.UnixMicro(p.DeadlineUnix).Add(q.limits.ClockBound)
@@ -188,8 +189,8 @@
 	return s
 }
 
-// admit looks first for another copy of the task: a task that may have started
-// must not be called "not run" for any other reason.
+// admit queues or refuses a task. It checks for a duplicate first: a task that
+// may have started must not be refused as not run for any other reason.
 func (q *Queue) admit(now time.Time, t *Task, maxQueue uint32, size int) {
 	switch {
 	case q.tasks[t.Key] != nil:
@@ -206,12 +207,12 @@
 		q.seen.add(now, t.id())
 		q.tasks[t.Key] = t
 		q.link(t.Link).held++
-		q.job(t).open++
+		q.job(t).unfinished++
 		q.waiting.push(now, t, size)
 	}
 }
 
-// Cancel gives up those of the tasks that have not started.
+// Cancel refuses the named tasks that have not started.
 func (q *Queue) Cancel(now time.Time, from Link, c *wire.Cancel) {
 	named := make(map[Key]bool, len(c.Indexes))
 	for _, index := range c.Indexes {
@@ -220,8 +221,8 @@
 	q.dropAll(func(t *Task) bool { return named[t.Key] }, failure.Cancelled, "")
 }
 
-// LinkDown forgets a link. Its queued tasks are dropped, since nobody is left
-// to receive their results; its started ones run to their end.
+// LinkDown removes a link. Its queued tasks are dropped, since their results can
+// no longer be delivered; its started ones run to their end.
 func (q *Queue) LinkDown(link Link) {
 	q.dropAll(func(t *Task) bool { return t.Link == link }, failure.Cancelled, "link down")
 	delete(q.links, link)
@@ -239,7 +240,7 @@
 	if o.Ran == failure.NotRun {
 		q.seen.forget(t.id())
 	}
-	q.answer(now, t, q.result(t, o, now.Sub(t.StartedAt)))
+	q.holdResult(now, t, q.result(t, o, now.Sub(t.StartedAt)))
 }
 
 // Expire refuses queued tasks whose deadline has passed.
@@ -248,17 +249,17 @@
 	q.seen.expire(now)
 }
 
-// Leave makes the queue refuse all new work and hand back what is queued. What
-// has started runs to its end.
+// Leave makes the queue refuse all new tasks and hand back the queued ones.
+// Started tasks run to their end.
 func (q *Queue) Leave() {
 	q.leaving = true
 	q.dropAll(func(*Task) bool { return true }, failure.Stopping, "the backend server is leaving")
 }
 
-// Idle returns whether nothing is queued or running.
+// Idle returns whether no task is queued or running.
 func (q *Queue) Idle() bool { return q.waiting.len() == 0 && q.running == 0 }
 
-// Leaving returns whether new work is refused.
+// Leaving returns whether the queue refuses all new tasks.
 func (q *Queue) Leaving() bool { return q.leaving }
 
 // Load returns the load to report on a link.
@@ -276,25 +277,25 @@
 	}
 }
 
-// Remembered returns how many past and present tasks are remembered, and how
-// many were forgotten before their time for want of room.
+// Remembered returns how many tasks are recorded, ended ones included, and how
+// many were removed before the end of Window because MaxRemembered was reached.
 func (q *Queue) Remembered() (tasks int, evicted uint64) {
 	return q.seen.order.Len(), q.seen.evicted
 }
 
-// Take returns what has to be done since the last call. Tasks are started here
-// and not as they come, so that of all that waits in an agent's inbox the
-// cancels count first.
+// Take returns the effects of all events since the last call. It starts queued
+// tasks here and not on arrival, so that a cancellation already in the agent's
+// inbox takes effect before the start.
 func (q *Queue) Take(now time.Time) Effects {
-	q.fill(now)
-	q.sendHeld(now)
+	q.startTasks(now)
+	q.sendHeldResults(now)
 	out := q.out
 	q.out = Effects{}
 	return out
 }
 
-// fill starts queued tasks on free slots, in order.
-func (q *Queue) fill(now time.Time) {
+// startTasks starts queued tasks on free slots, in the order of the queue.
+func (q *Queue) startTasks(now time.Time) {
 	for q.running < q.limits.Slots && q.waiting.len() > 0 {
 		t := q.waiting.pop()
 		if !now.Before(t.Deadline) {
@@ -314,14 +315,14 @@
 	}
 }
 
-// dropAll takes the tasks that match out of the queue.
+// dropAll removes the queued tasks that match and refuses them.
 func (q *Queue) dropAll(match func(*Task) bool, k failure.Kind, reason string) {
 	for _, t := range q.waiting.remove(match) {
 		q.drop(t, k, reason)
 	}
 }
 
-// drop ends a task that never ran and is no longer in the queue.
+// drop refuses a task that was removed from the queue and never ran.
 func (q *Queue) drop(t *Task, k failure.Kind, reason string) {
 	q.release(t)
 	q.seen.forget(t.id())
@@ -339,7 +340,7 @@
 
 func (q *Queue) release(t *Task) {
 	delete(q.tasks, t.Key)
-	q.closeTask(t)
+	q.taskEnded(t)
 	if l := q.links[t.Link]; l != nil {
 		l.held--
 	}
--- a/submissions/queue/queue_test.go
+++ b/submissions/queue/queue_test.go
@@ -18,13 +18,13 @@
 	RunSpecs(t, "queue")
 }
 
-type panics struct{}
+type panicAsserter struct{}
 
-func (panics) Violated(promise string) { panic(promise) }
+func (panicAsserter) Violated(promise string) { panic(promise) }
 
-type counts map[string]int
+type countingAsserter map[string]int
 
-func (c counts) Violated(promise string) { c[promise]++ }
+func (c countingAsserter) Violated(promise string) { c[promise]++ }
 
 var _ = Describe("an agent's queue", func() {
 	var q *queue.Queue
@@ -32,7 +32,7 @@
 	var seq uint64
 	limits := queue.Limits{Slots: 2, Queue: 2, MaxRemembered: 100, Window: time.Minute, ClockBound: 100 * time.Millisecond}
 	BeforeEach(func() {
-		q = queue.New(limits, panics{})
+		q = queue.New(limits, panicAsserter{})
 		now = time.Unix(1_800_000_000, 0)
 		seq = 0
 	})
@@ -55,7 +55,7 @@
 		return ks
 	}
 
-	It("starts as many as it has slots, queues up to its bound, refuses the rest", func() {
+	It("starts as many tasks as it has slots, queues up to its limit, and refuses the rest", func() {
 		place(1, "s@1", time.Minute, 0, 1, 2, 3, 4)
 		out := q.Take(now)
 		Expect(out.Start).To(HaveLen(2))
@@ -65,7 +65,7 @@
 		Expect(q.Take(now).Start).To(HaveLen(1))
 	})
 
-	It("hands back what would wait behind more tasks than the sender allows", func() {
+	It("hands back tasks that would wait behind more tasks than the sender allows", func() {
 		m := &wire.Place{Seq: 1, MaxQueue: 1, BudgetMicros: 1e9, DeadlineUnix: now.Add(time.Minute).UnixMicro()}
 		for i := range uint32(5) {
 			m.Tasks = append(m.Tasks, wire.Task{Index: i})
@@ -76,7 +76,7 @@
 		Expect(kinds(out)).To(Equal([]failure.Kind{failure.Busy, failure.Busy}))
 	})
 
-	It("cancels what has not started and nothing else (hazard 6)", func() {
+	It("cancels tasks that have not started and no others (hazard 6)", func() {
 		place(1, "s@1", time.Minute, 0, 1, 2)
 		started := q.Take(now).Start
 		q.Cancel(now, 1, &wire.Cancel{Job: 1, Indexes: []uint32{0, 1, 2, 9}})
@@ -86,7 +86,7 @@
 		Expect(started[0].State()).To(Equal(queue.Started))
 	})
 
-	It("lets a cancel that waits in the inbox count before the start (hazard 4)", func() {
+	It("applies a cancellation in the inbox before the start (hazard 4)", func() {
 		place(1, "s@1", time.Minute, 0)
 		q.Cancel(now, 1, &wire.Cancel{Job: 1, Indexes: []uint32{0}})
 		out := q.Take(now)
@@ -94,7 +94,7 @@
 		Expect(kinds(out)).To(Equal([]failure.Kind{failure.Cancelled}))
 	})
 
-	It("starts no second copy that comes by another link (hazards 1 and 5)", func() {
+	It("does not start a duplicate that arrives by another link (hazards 1 and 5)", func() {
 		place(1, "s@1", time.Minute, 0)
 		Expect(q.Take(now).Start).To(HaveLen(1))
 		place(2, "s@1", time.Minute, 0)
@@ -103,7 +103,7 @@
 		Expect(kinds(out)).To(Equal([]failure.Kind{failure.Duplicate}))
 	})
 
-	It("says nothing of 'not run' about a running task when it leaves", func() {
+	It("does not report a running task as not run when it leaves", func() {
 		place(1, "s@1", time.Minute, 0)
 		Expect(q.Take(now).Start).To(HaveLen(1))
 		q.Leave()
@@ -111,7 +111,7 @@
 		Expect(kinds(q.Take(now))).To(Equal([]failure.Kind{failure.Duplicate, failure.Stopping}))
 	})
 
-	It("serves teams in turn, and small jobs of a team before large ones (hazard 20)", func() {
+	It("serves teams by round robin, and small jobs of a team before large ones (hazard 20)", func() {
 		add := func(job uint64, workspace string, tasks int) {
 			seq++
 			m := &wire.Place{Seq: seq, Job: job, Submission: fmt.Sprint(job), Workspace: workspace, MaxQueue: wire.NoQueueLimit, BudgetMicros: 1e9, DeadlineUnix: now.Add(time.Hour).UnixMicro()}
@@ -133,7 +133,7 @@
 			}
 		}
 		l := queue.Limits{Slots: 1, Queue: 100, MaxRemembered: 100, Window: time.Hour}
-		q = queue.New(l, panics{})
+		q = queue.New(l, panicAsserter{})
 		add(1, "a", 4)
 		add(2, "a", 1)
 		add(3, "b", 2)
@@ -142,17 +142,17 @@
 		add(5, "a", 4)
 		now = now.Add(100 * time.Millisecond)
 		add(6, "a", 1)
-		Expect(order()).To(Equal([]uint64{5, 5, 5, 5, 6}), "a job is overtaken no longer than its handicap")
+		Expect(order()).To(Equal([]uint64{5, 5, 5, 5, 6}), "a job is overtaken only within its added delay")
 		l.FIFO = true
-		q = queue.New(l, panics{})
+		q = queue.New(l, panicAsserter{})
 		add(1, "a", 4)
 		add(2, "a", 1)
 		add(3, "b", 2)
 		Expect(order()).To(Equal([]uint64{1, 1, 1, 1, 2, 3, 3}))
 	})
 
-	It("sends the answers of a job together, the last one and a failure at once", func() {
-		q = queue.New(queue.Limits{Slots: 9, Queue: 9, MaxRemembered: 100, Window: time.Minute, Hold: 10 * time.Millisecond}, panics{})
+	It("sends the results of a job together, the last one and a failure at once", func() {
+		q = queue.New(queue.Limits{Slots: 9, Queue: 9, MaxRemembered: 100, Window: time.Minute, Hold: 10 * time.Millisecond}, panicAsserter{})
 		place(1, "s@1", time.Minute, 0, 1, 2, 3)
 		started := q.Take(now).Start
 		done := func(i int, k failure.Kind) []failure.Kind {
@@ -172,14 +172,14 @@
 		Expect(done(0, failure.None)).To(HaveLen(1), "a job of one task")
 	})
 
-	It("takes no message twice on one link", func() {
+	It("handles no message twice on one link", func() {
 		m := &wire.Place{Seq: 1, Job: 1, Submission: "s@1", MaxQueue: 1, BudgetMicros: 1e6, DeadlineUnix: now.Add(time.Second).UnixMicro(), Tasks: []wire.Task{{}}}
 		Expect(q.Place(now, 1, m)).To(BeTrue())
 		Expect(q.Place(now, 1, m)).To(BeFalse())
 		Expect(q.Take(now).Start).To(HaveLen(1))
 	})
 
-	It("starts nothing whose deadline passed in the queue (hazard 14)", func() {
+	It("starts no task whose deadline passed in the queue (hazard 14)", func() {
 		place(1, "s@1", time.Second, 0, 1, 2, 3)
 		started := q.Take(now).Start
 		now = now.Add(time.Second)
@@ -190,7 +190,7 @@
 		Expect(kinds(out)).To(Equal([]failure.Kind{failure.DeadlineInQueue, failure.DeadlineInQueue, failure.None}))
 	})
 
-	It("judges a message that was long on the way by the sender's clock (hazard 4)", func() {
+	It("applies the sender's absolute deadline to a delayed message (hazard 4)", func() {
 		sent := now
 		now = now.Add(10 * time.Second)
 		q.Place(now, 1, &wire.Place{Seq: 1, MaxQueue: 1, BudgetMicros: 1e6, DeadlineUnix: sent.Add(time.Second).UnixMicro(), Tasks: []wire.Task{{}}})
@@ -199,7 +199,7 @@
 		Expect(kinds(out)).To(Equal([]failure.Kind{failure.DeadlineInQueue}))
 	})
 
-	It("hands back what is queued when it leaves, and lets what started end (hazard 26)", func() {
+	It("hands back queued tasks when it leaves, and lets started ones end (hazard 26)", func() {
 		place(1, "s@1", time.Minute, 0, 1, 2)
 		started := q.Take(now).Start
 		q.Leave()
@@ -213,7 +213,7 @@
 		Expect(kinds(q.Take(now))).To(Equal([]failure.Kind{failure.None, failure.None}))
 	})
 
-	It("drops the queued tasks of a link that is lost, and may then take them by another", func() {
+	It("drops the queued tasks of a broken link, and then accepts them by another", func() {
 		place(1, "s@1", time.Minute, 0, 1, 2)
 		Expect(q.Take(now).Start).To(HaveLen(2))
 		q.LinkDown(1)
@@ -222,8 +222,8 @@
 		Expect(q.Load(2).Queued).To(Equal(uint32(1)))
 	})
 
-	It("remembers past tasks within its bounds", func() {
-		q = queue.New(queue.Limits{Slots: 10, Queue: 10, MaxRemembered: 2, Window: time.Minute}, panics{})
+	It("records past tasks up to its limits", func() {
+		q = queue.New(queue.Limits{Slots: 10, Queue: 10, MaxRemembered: 2, Window: time.Minute}, panicAsserter{})
 		for i, s := range []string{"a@1", "b@1", "c@1"} {
 			place(queue.Link(i), s, time.Minute, 0)
 			q.Take(now)
@@ -236,14 +236,14 @@
 		Expect(kept).To(BeZero())
 	})
 
-	It("asserts that a task ends only once, and goes on safely", func() {
-		seen := make(counts)
+	It("asserts that a task ends only once, and ignores the second end", func() {
+		seen := make(countingAsserter)
 		q = queue.New(limits, seen)
 		place(1, "s@1", time.Minute, 0)
 		t := q.Take(now).Start[0]
 		q.Finished(now, t, queue.Outcome{Ran: failure.DidRun})
 		q.Finished(now, t, queue.Outcome{Ran: failure.NotRun})
-		Expect(seen).To(Equal(counts{"ended_without_start": 1}))
+		Expect(seen).To(Equal(countingAsserter{"ended_without_start": 1}))
 		Expect(kinds(q.Take(now))).To(HaveLen(1))
 		Expect(q.Idle()).To(BeTrue())
 	})
