--- a/submissions/placement/placement.go
+++ b/submissions/placement/placement.go
@@ -1,6 +1,7 @@
-// Package placement is the core that decides which agent gets a task. It knows
-// the agents' load from the answers that flow anyway, and corrects it by what
-// the entry itself has placed since. It does no I/O.
+// Package placement is the core that decides which agent gets a task. It owns an
+// entry's view of the agents. It relies on the load that agents report with
+// their results, and corrects it by the tasks that this entry has placed since.
+// It does no I/O.
 package placement
 
 import (
@@ -11,53 +12,52 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// Agent is what an entry knows of one agent.
+// Agent is the state of one agent as this entry knows it.
 type Agent struct {
 	ID            string // address
 	Pool          string
 	DataCentre    string
 	Slots         int
-	Queue         int  // tasks that may wait there
-	Leaving       bool // says so itself; for good
-	ListedLeaving bool // the platform's box list says so
-	Silent        bool // does not answer
-	Outstanding   int  // tasks placed by this entry and not answered
+	Queue         int  // limit on the tasks that wait there
+	Leaving       bool // announced by the agent; final
+	ListedLeaving bool // the platform's box list has it as leaving
+	Silent        bool // misses timeouts; see package dispatch
+	Outstanding   int  // tasks placed by this entry without a result
 
-	others int // tasks of other entries, as last reported
-	seen   seen
+	others int // tasks placed by other entries, as last reported
+	stats  taskStats
 }
 
-// load is the number of tasks per slot once a new one is there, as much
-// greater as the agent is held back.
+// load returns the number of tasks per slot if one more is placed at the agent,
+// multiplied by the factor of an outlier.
 func (a *Agent) load() float64 {
-	return float64(a.Outstanding+a.others+1) / float64(max(1, a.Slots)) * max(1, a.seen.factor)
+	return float64(a.Outstanding+a.others+1) / float64(max(1, a.Slots)) * max(1, a.stats.factor)
 }
 
-// Policy is the setting of the choice.
+// Policy holds the settings by which agents are chosen.
 type Policy struct {
-	// Choices is the number of agents drawn at random, of which the least
-	// loaded gets the task: 1 is random, 2 the power of two choices. Zero
-	// looks at all agents of a pool of up to lookAtAll, and draws drawOfMany
-	// of a larger one, so that the work for a task does not grow with it.
+	// Choices is the number of agents drawn at random, of which the least loaded
+	// gets the task: 1 is random, 2 is the power of two choices. Zero compares
+	// all agents of a pool of up to maxScan agents, and draws sampleSize agents of
+	// a larger pool, so that the cost of a task does not grow with the pool.
 	Choices  int
 	Outliers OutlierSettings
 }
 
 const (
-	lookAtAll  = 64 // agents of a pool up to which all are looked at
-	drawOfMany = 16 // agents drawn of a larger one; 3.5 us a task at 40 agents, 5.8 us at 960 (docs/measurements/0012)
+	maxScan    = 64 // size of a pool up to which all its agents are compared
+	sampleSize = 16 // agents drawn of a larger pool; 3.5 us a task at 40 agents, 5.8 us at 960 (docs/measurements/0012)
 )
 
-// choices returns how many of n agents are drawn; zero means all.
+// choices returns how many of n agents are drawn; zero compares all.
 func (p Policy) choices(n int) int {
-	if p.Choices == 0 && n > lookAtAll {
-		return drawOfMany
+	if p.Choices == 0 && n > maxScan {
+		return sampleSize
 	}
 	return p.Choices
 }
 
-// Set holds the agents that can be reached. It is not safe for use by several
-// goroutines.
+// Set holds the connected agents. It is not safe for concurrent use.
 type Set struct {
 	policy     Policy
 	rng        *rand.Rand
@@ -67,12 +67,12 @@
 	detectedAt time.Time
 }
 
-// New returns an empty set. rng makes the random choices.
+// New returns an empty set; rng is the source of its random choices.
 func New(p Policy, rng *rand.Rand) *Set {
 	return &Set{policy: p, rng: rng, byID: make(map[string]*Agent), pools: make(map[string][]*Agent)}
 }
 
-// Add takes in a, replacing any agent of the same ID.
+// Add adds a, replacing any agent of the same ID.
 func (s *Set) Add(a *Agent) {
 	s.Remove(a.ID)
 	s.byID[a.ID] = a
@@ -80,7 +80,7 @@
 	s.pools[a.Pool] = append(s.pools[a.Pool], a)
 }
 
-// Remove drops the agent.
+// Remove removes the agent, if the set has it.
 func (s *Set) Remove(id string) {
 	a := s.byID[id]
 	if a == nil {
@@ -104,13 +104,13 @@
 // All returns all agents, which the caller must not change.
 func (s *Set) All() []*Agent { return s.all }
 
-// Agent returns the agent of that ID, or nil.
+// Agent returns the agent with the ID, or nil.
 func (s *Set) Agent(id string) *Agent { return s.byID[id] }
 
 // Pool returns the agents of a pool, which the caller must not change.
 func (s *Set) Pool(pool string) []*Agent { return s.pools[pool] }
 
-// UpdateLoad takes an agent's own word on its load.
+// UpdateLoad records the load that an agent reported.
 func (s *Set) UpdateLoad(id string, l wire.Load) {
 	a := s.byID[id]
 	if a == nil {
@@ -120,8 +120,8 @@
 	a.Leaving = a.Leaving || l.Leaving
 }
 
-// EstimatedQueue returns how many tasks are thought to wait at the agent, those counted
-// as placed there included.
+// EstimatedQueue returns the estimated number of tasks that wait for a slot at
+// the agent, the outstanding ones of this entry included.
 func (s *Set) EstimatedQueue(id string) int {
 	a := s.byID[id]
 	if a == nil {
@@ -130,13 +130,13 @@
 	return max(0, a.Outstanding+a.others-a.Slots)
 }
 
-// Pick chooses an agent of the pool that is not leaving and not in avoid, and
-// counts the task as placed there. It returns nil when there is none.
+// Pick chooses an agent of the pool that is not leaving, not silent and not in
+// avoid, and counts a task as outstanding there. It returns nil if there is none.
 func (s *Set) Pick(pool string, avoid []string) *Agent {
 	agents := s.pools[pool]
-	best := s.trickle(agents, avoid)
+	best := s.pickOutlier(agents, avoid)
 	if best == nil {
-		best = s.draw(agents, avoid)
+		best = s.sample(agents, avoid)
 	}
 	if best == nil {
 		best = s.scan(agents, avoid)
@@ -147,16 +147,16 @@
 	return best
 }
 
-// Release takes back n tasks counted as placed at the agent.
+// Release subtracts n tasks from the outstanding ones of the agent.
 func (s *Set) Release(id string, n int) {
 	if a := s.byID[id]; a != nil {
 		a.Outstanding = max(0, a.Outstanding-n)
 	}
 }
 
-// draw returns the least loaded of a few agents drawn at random; nil when it
-// is told to look at all, or drew none that will do.
-func (s *Set) draw(agents []*Agent, avoid []string) *Agent {
+// sample returns the least loaded of a few agents drawn at random. It returns nil
+// if the policy compares all agents, or if none of those drawn is usable.
+func (s *Set) sample(agents []*Agent, avoid []string) *Agent {
 	n := s.policy.choices(len(agents))
 	if n == 0 || len(agents) == 0 {
 		return nil
@@ -171,8 +171,8 @@
 	return best
 }
 
-// scan returns the least loaded of all agents, beginning at a random one so
-// that ties are spread.
+// scan returns the least loaded of all usable agents. It starts at a random one,
+// so that equally loaded agents are chosen equally often.
 func (s *Set) scan(agents []*Agent, avoid []string) *Agent {
 	if len(agents) == 0 {
 		return nil
--- a/submissions/placement/placement_test.go
+++ b/submissions/placement/placement_test.go
@@ -38,24 +38,24 @@
 }
 
 var _ = Describe("placement", func() {
-	It("spreads a job evenly when it looks at all agents", func() {
+	It("spreads a job evenly when it compares all agents", func() {
 		least, most := spread(newSet(0, 11), 110)
 		Expect(least).To(Equal(10))
 		Expect(most).To(Equal(10))
 	})
 
-	It("spreads better by two choices than at random", func() {
+	It("spreads tasks better by two choices than at random", func() {
 		_, random := spread(newSet(1, 50), 1000)
 		_, two := spread(newSet(2, 50), 1000)
 		Expect(two).To(BeNumerically("<", random))
 	})
 
-	It("looks at a bounded number of agents in a large pool, and spreads well all the same", func() {
+	It("compares a limited number of agents of a large pool, and still spreads tasks well", func() {
 		_, large := spread(newSet(0, 960), 4800)
 		Expect(large).To(BeNumerically("<=", 7), "a mean of 5")
 	})
 
-	It("adds other entries' tasks to its own, and not its own twice", func() {
+	It("adds the tasks of other entries to its own, without counting its own twice", func() {
 		s := newSet(0, 2)
 		s.UpdateLoad("0", wire.Load{Queued: 2, Running: 8, Mine: 4, Slots: 8})
 		for range 6 {
@@ -66,7 +66,7 @@
 		Expect(s.Agent("1").Outstanding).To(BeZero())
 	})
 
-	It("avoids agents that leave, are silent, or have refused the task", func() {
+	It("avoids agents that are leaving or silent or have refused the task", func() {
 		s := newSet(2, 4)
 		s.UpdateLoad("0", wire.Load{Leaving: true})
 		s.Agent("1").Silent = true
@@ -81,18 +81,18 @@
 	})
 })
 
-var _ = Describe("a bad backend server (hazards 18 and 19)", func() {
-	judging := placement.OutlierSettings{SlowFactor: 3, MaxShare: 0.4, TrickleShare: 0.01}
+var _ = Describe("an outlier among the backend servers (hazards 18 and 19)", func() {
+	outliers := placement.OutlierSettings{SlowFactor: 3, MaxShare: 0.4, TrickleShare: 0.01}
 	var s *placement.Set
 	now := time.Unix(1_800_000_000, 0)
 	BeforeEach(func() {
-		s = placement.New(placement.Policy{Outliers: judging}, rand.New(rand.NewPCG(1, 1)))
+		s = placement.New(placement.Policy{Outliers: outliers}, rand.New(rand.NewPCG(1, 1)))
 		for i := range 11 {
 			s.Add(&placement.Agent{ID: fmt.Sprint(i), Pool: "p", Slots: 8})
 		}
 	})
-	// share has n tasks placed and ended one by one; agent 0 takes run and fails
-	// as told. It returns the share of tasks that agent 0 got.
+	// share places n tasks and ends each before the next. Tasks at agent 0 take run
+	// and fail if failed is set. It returns the share of tasks that agent 0 got.
 	share := func(n int, run time.Duration, failed bool) float64 {
 		got := 0
 		for range n {
@@ -110,7 +110,7 @@
 		return float64(got) / float64(n)
 	}
 
-	It("that straggles gets a trickle, and its share again when it is well", func() {
+	It("that is slow gets a small share of the tasks, and a full one when it has recovered", func() {
 		share(500, 500*time.Millisecond, false)
 		Expect(s.Outliers()).To(Equal(1))
 		Expect(share(2000, 500*time.Millisecond, false)).To(BeNumerically("<", 0.02))
@@ -119,12 +119,12 @@
 		Expect(share(2000, 50*time.Millisecond, false)).To(BeNumerically(">", 0.05))
 	})
 
-	It("that fails fast draws no traffic", func() {
+	It("that fails tasks fast does not attract more of them", func() {
 		share(500, time.Millisecond, true)
 		Expect(share(2000, time.Millisecond, true)).To(BeNumerically("<", 0.02))
 	})
 
-	It("is not believed in when too many seem bad (hazard 28)", func() {
+	It("is not detected when too many agents appear to be one (hazard 28)", func() {
 		for range 20 {
 			for i := range 11 {
 				run := 50 * time.Millisecond
--- a/submissions/placement/pool.go
+++ b/submissions/placement/pool.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// PoolState sums up the agents of a pool that can be used.
+// PoolState is the sum over the usable agents of a pool.
 type PoolState struct {
 	Slots   int
-	Queue   int           // tasks that may wait, by the agents' bounds
-	Held    int           // tasks thought to be queued or running
-	MeanRun time.Duration // mean time of a task, zero when none was seen
+	Queue   int           // limit on the tasks that wait at the agents
+	Held    int           // estimated number of tasks queued or running
+	MeanRun time.Duration // mean run time of a task; zero before the first
 }
 
-// State returns the state of a pool as this entry knows it.
+// State returns the state of the pool as this entry knows it.
 func (s *Set) State(pool string) PoolState {
 	var p PoolState
 	var run float64
@@ -22,8 +22,8 @@
 		p.Slots += a.Slots
 		p.Queue += a.Queue
 		p.Held += a.Outstanding + a.others
-		if a.seen.n > 0 {
-			run += a.seen.run
+		if a.stats.n > 0 {
+			run += a.stats.run
 			counted++
 		}
 	}
@@ -33,7 +33,7 @@
 	return p
 }
 
-// Wait returns how long the last of n new tasks would wait for a slot.
+// Wait returns the estimated time that the last of n new tasks waits for a slot.
 func (p PoolState) Wait(n int) time.Duration {
 	behind := p.Held + n - p.Slots
 	if behind <= 0 || p.Slots == 0 {
@@ -42,12 +42,12 @@
 	return time.Duration(float64(behind) / float64(p.Slots) * float64(p.MeanRun))
 }
 
-// fullShare is the share of the pool's queues up to which whole jobs are taken. The rest is
-// for what an entry does not know of the others.
-const fullShare = 0.7
+// maxQueueShare is the share of the pool's queues up to which whole jobs are accepted. The rest
+// is a reserve for tasks that other entries have placed without this entry's knowledge.
+const maxQueueShare = 0.7
 
-// Full returns whether n new tasks would fill the queues so far that some of
-// them might be refused.
+// Full returns whether n new tasks would fill the queues beyond maxQueueShare, so
+// that agents might refuse some of them.
 func (p PoolState) Full(n int) bool {
-	return float64(p.Held+n-p.Slots) > fullShare*float64(p.Queue)
+	return float64(p.Held+n-p.Slots) > maxQueueShare*float64(p.Queue)
 }
