--- a/submissions/job/answer.go
+++ b/submissions/job/answer.go
@@ -8,7 +8,7 @@
 	"github.com/lichenfall/lichenfall/lib/failure"
 )
 
-// State is the state of a submission as the caller sees it.
+// State is the state of a submission in an answer to a caller.
 type State string
 
 // The states of a submission.
@@ -18,7 +18,8 @@
 	Failed   State = "failed"
 )
 
-// Counts says what became of the tasks of a failed job.
+// Counts holds the numbers of tasks of a failed job that ran, did not run, or
+// may have run.
 type Counts struct {
 	Total   int `json:"total"`
 	Ran     int `json:"ran"`
@@ -26,34 +27,34 @@
 	Unknown int `json:"unknown"`
 }
 
-// Answer is what a caller receives: all results in the order of the tasks, or
-// one error and no result.
+// Answer is the JSON answer to a caller: all results in the order of the tasks,
+// or one error and no result.
 type Answer struct {
 	Submission string            `json:"submission,omitempty"`
 	State      State             `json:"state"`
 	Results    []json.RawMessage `json:"results,omitempty"`
 	Error      *ErrorBody        `json:"error,omitempty"`
 	Tasks      *Counts           `json:"tasks,omitempty"`
-	// Resent is set when the answer is that of an earlier copy.
+	// Resent is set when the answer is that of an earlier call with the same ID.
 	Resent bool `json:"resent,omitempty"`
 }
 
-// ErrorBody is the error part of an Answer.
+// ErrorBody is the error of an Answer.
 type ErrorBody struct {
 	Kind    string `json:"kind"`
 	Field   string `json:"field,omitempty"`
 	Reason  string `json:"reason,omitempty"`
 	Allowed string `json:"allowed,omitempty"`
-	Task    *int   `json:"task,omitempty"` // the task that made the job fail
-	// Ran speaks of the whole submission: "not run" only when no task of it
-	// was started, "ran" when at least one was, else "unknown".
+	Task    *int   `json:"task,omitempty"` // index of the task that made the job fail
+	// Ran holds for the whole submission: "not run" if no task of it was started,
+	// "ran" if at least one is known to have run, else "unknown".
 	Ran          string `json:"ran"`
 	Retry        string `json:"retry"`
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 }
 
-// Refusal is the answer to a submission that failed as a whole. ran replaces
-// what the kind says by itself.
+// Refusal returns the answer to a submission that failed as a whole. ran takes
+// the place of the value in the kind's row of failure.Table.
 func Refusal(id string, e *failure.Error, ran failure.Ran) *Answer {
 	row := e.Kind.Row()
 	return &Answer{Submission: id, State: Failed, Error: &ErrorBody{
--- a/submissions/job/decode.go
+++ b/submissions/job/decode.go
@@ -10,13 +10,14 @@
 	"github.com/lichenfall/lichenfall/lib/failure"
 )
 
-// Decode reads the JSON text of a submission, strictly.
+// Decode parses the JSON body of a submission. Unknown fields and a second JSON
+// value are errors of the kind BadRequest.
 func Decode(body []byte) (*Request, error) {
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
 	r := &Request{}
 	if err := d.Decode(r); err != nil {
-		return nil, badJSON(err)
+		return nil, decodeError(err)
 	}
 	if _, err := d.Token(); err != io.EOF {
 		return nil, failure.InField(failure.BadRequest, "(body)", "more than one value", "one JSON object")
@@ -26,10 +27,10 @@
 
 const unknownField = "json: unknown field "
 
-func badJSON(err error) error {
-	var wrong *json.UnmarshalTypeError
-	if errors.As(err, &wrong) {
-		return failure.InField(failure.BadRequest, wrong.Field, "is a JSON "+wrong.Value, "a value of type "+wrong.Type.String())
+func decodeError(err error) error {
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return failure.InField(failure.BadRequest, typeErr.Field, "is a JSON "+typeErr.Value, "a value of type "+typeErr.Type.String())
 	}
 	if name, ok := strings.CutPrefix(err.Error(), unknownField); ok {
 		return failure.InField(failure.BadRequest, strings.Trim(name, `"`), "unknown field",
--- a/submissions/job/job.go
+++ b/submissions/job/job.go
@@ -7,30 +7,31 @@
 	"github.com/lichenfall/lichenfall/lib/failure"
 )
 
-// TaskState is where a task stands at the entry.
+// TaskState is the state of a task at the entry.
 type TaskState uint8
 
 // The states of a task at the entry.
 const (
-	Pending TaskState = iota // not placed, or handed back
+	Pending TaskState = iota // not placed yet, or handed back
 	Placed                   // sent to an agent
-	Done                     // its answer is here
-	Over                     // it will not be answered; ran says whether it ran
+	Done                     // its result has arrived
+	Ended                    // ended without a result; Task.Ran is whether it ran
 )
 
-// Task is the entry's record of one task.
+// Task is the state of one task at the entry.
 type Task struct {
 	State    TaskState
-	Agent    string // where it is placed
-	Attempts int    // placings, bounces included
-	Bounces  int    // times handed back as busy
+	Agent    string // address of the agent that it is placed at
+	Attempts int    // number of times it was placed, bounces included
+	Bounces  int    // number of times it was handed back as busy
 	Ran      failure.Ran
-	Body     []byte
-	Tried    []string // agents that handed it back
+	Body     []byte   // its result when Done
+	Tried    []string // agents that handed it back other than as busy
 }
 
 // Job is the state of one submission at the entry that runs it. It is complete
-// when every task is Done; the first task that fails for good fails it.
+// when every task is Done. It fails as a whole when one task fails and is not
+// retried, or when its deadline passes.
 type Job struct {
 	*Submission
 	Number uint64
@@ -45,10 +46,11 @@
 	return &Job{Submission: s, Number: number, Tasks: make([]Task, len(s.Payloads))}
 }
 
-// Answer returns the job's answer, nil while it runs.
+// Answer returns the job's answer, or nil while the job runs.
 func (j *Job) Answer() *Answer { return j.answer }
 
-// Place records that the task is sent to the agent.
+// Place records that the task is sent to the agent. It panics if the task is not
+// pending.
 func (j *Job) Place(i int, agent string) {
 	t := &j.Tasks[i]
 	if t.State != Pending {
@@ -59,8 +61,9 @@
 	t.Attempts++
 }
 
-// AwaitsResult returns whether the task is placed at the agent by that attempt. A
-// result of anything else is late, crossed or repeated, and must be dropped.
+// AwaitsResult returns whether the task is placed at the agent by that attempt.
+// Any other result is late, repeated or from the wrong agent, and must be
+// dropped.
 func (j *Job) AwaitsResult(i int, agent string, attempt int) bool {
 	if i < 0 || i >= len(j.Tasks) {
 		return false
@@ -69,8 +72,7 @@
 	return t.State == Placed && t.Agent == agent && t.Attempts == attempt
 }
 
-// Finish records the answer of a placed task and completes the job with the
-// last one.
+// Finish records the result of a placed task. The last result completes the job.
 func (j *Job) Finish(i int, body []byte) {
 	t := &j.Tasks[i]
 	t.State = Done
@@ -82,8 +84,8 @@
 	}
 }
 
-// HandBack records that a placed task certainly did not run and is pending
-// again.
+// HandBack records that the agent handed back a placed task, which certainly did
+// not run and is pending again.
 func (j *Job) HandBack(i int) {
 	t := &j.Tasks[i]
 	t.State = Pending
@@ -91,8 +93,8 @@
 	t.Agent = ""
 }
 
-// Bounce records that a placed task was handed back only because the agent
-// holds more than we thought. It may be placed there again.
+// Bounce records that a placed task was handed back only because the agent's
+// queue was longer than estimated. It may be placed at the same agent again.
 func (j *Job) Bounce(i int) {
 	t := &j.Tasks[i]
 	t.State = Pending
@@ -100,18 +102,18 @@
 	t.Agent = ""
 }
 
-// Tries returns the number of placings that were not bounced.
+// Tries returns the number of attempts that were not bounced.
 func (t Task) Tries() int { return t.Attempts - t.Bounces }
 
-// End records that a task will not be answered.
+// End records that a task ended without a result, and whether it ran.
 func (j *Job) End(i int, ran failure.Ran) {
 	t := &j.Tasks[i]
-	t.State = Over
+	t.State = Ended
 	t.Ran = ran
 }
 
-// Fail makes the job fail because of task i (negative: of none in particular).
-// Tasks that are placed count as unknown, those pending as not run.
+// Fail makes the job fail because of task i, or of no single task if i is
+// negative. Placed tasks count as unknown, pending ones as not run.
 func (j *Job) Fail(i int, e *failure.Error) {
 	if j.answer != nil {
 		return
@@ -162,7 +164,8 @@
 	return t.Ran
 }
 
-// ran sums up a submission from its tasks.
+// ran returns whether a submission with these counts ran: one task that ran is
+// enough.
 func (c Counts) ran() failure.Ran {
 	switch {
 	case c.Ran > 0:
@@ -173,7 +176,8 @@
 	return failure.NotRun
 }
 
-// PlacedAt returns the agent that holds the task, "" when none does.
+// PlacedAt returns the agent that the task is placed at, or "" if it is not
+// placed.
 func (j *Job) PlacedAt(i int) string {
 	if j.Tasks[i].State != Placed {
 		return ""
@@ -181,7 +185,7 @@
 	return j.Tasks[i].Agent
 }
 
-// AnyPlacedAt returns whether the agent holds a task of the job.
+// AnyPlacedAt returns whether a task of the job is placed at the agent.
 func (j *Job) AnyPlacedAt(agent string) bool {
 	for i := range j.Tasks {
 		if j.PlacedAt(i) == agent {
@@ -191,7 +195,7 @@
 	return false
 }
 
-// AnyStarted returns whether a task of the job is known to have started.
+// AnyStarted returns whether a task of the job is known to have run.
 func (j *Job) AnyStarted() bool {
 	return slices.ContainsFunc(j.Tasks, func(t Task) bool { return t.ran() == failure.DidRun })
 }
--- a/submissions/job/job_test.go
+++ b/submissions/job/job_test.go
@@ -26,7 +26,7 @@
 
 const good = `{"id":"a@1800000000000","team":"t","pool":"p","tasks":[{"payload":1}]}`
 
-func check(body string) (*job.Submission, error) {
+func decodeAndCheck(body string) (*job.Submission, error) {
 	r, err := job.Decode([]byte(body))
 	if err != nil {
 		return nil, err
@@ -35,18 +35,18 @@
 }
 
 var _ = Describe("a request", func() {
-	It("is taken with the default deadline", func() {
-		s, err := check(good)
+	It("is accepted with the default deadline", func() {
+		s, err := decodeAndCheck(good)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Deadline).To(Equal(now.Add(limits.DefaultTimeout)))
 		Expect(s.Payloads).To(HaveLen(1))
 	})
 
-	DescribeTable("that is wrong is refused with its kind and field",
+	DescribeTable("that is invalid is refused with its kind and field",
 		func(change, to string, kind failure.Kind, field string) {
 			body := strings.Replace(good, change, to, 1)
 			Expect(body).NotTo(Equal(good))
-			_, err := check(body)
+			_, err := decodeAndCheck(body)
 			f := failure.From(err)
 			Expect(f.Kind).To(Equal(kind), f.Error())
 			Expect(f.Field).To(Equal(field), f.Error())
@@ -72,18 +72,18 @@
 		Entry("both kinds of deadline", `"team"`, `"timeout_ms":5,"deadline":"2027-01-15T08:00:10Z","team"`, failure.BadRequest, "deadline"),
 	)
 
-	It("has a digest of its content, not of its deadline", func() {
-		a, err := check(good)
+	It("has a digest that covers its content and not its deadline", func() {
+		a, err := decodeAndCheck(good)
 		Expect(err).NotTo(HaveOccurred())
-		later, err := check(strings.Replace(good, `"team"`, `"timeout_ms":5,"team"`, 1))
+		later, err := decodeAndCheck(strings.Replace(good, `"team"`, `"timeout_ms":5,"team"`, 1))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(later.Digest).To(Equal(a.Digest))
 		for change, to := range map[string]string{`"t"`: `"u"`, `"p"`: `"q"`, `1}`: `2}`} {
-			other, err := check(strings.Replace(good, change, to, 1))
+			other, err := decodeAndCheck(strings.Replace(good, change, to, 1))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(other.Digest).NotTo(Equal(a.Digest), change)
 		}
-		once, err := check(strings.Replace(good, `"team"`, `"not_repeatable":true,"team"`, 1))
+		once, err := decodeAndCheck(strings.Replace(good, `"team"`, `"not_repeatable":true,"team"`, 1))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(once.Digest).NotTo(Equal(a.Digest))
 	})
@@ -94,7 +94,7 @@
 		return job.New(1, &job.Submission{ID: "a@1", Payloads: [][]byte{{}, {}, {}}})
 	}
 
-	It("is complete only with every answer, in the order of the tasks", func() {
+	It("is complete only with every result, in the order of the tasks", func() {
 		j := newJob()
 		for _, i := range []int{2, 0, 1} {
 			Expect(j.Answer()).To(BeNil())
@@ -105,7 +105,7 @@
 		Expect(j.Answer().Results).To(Equal([]json.RawMessage{[]byte("0"), []byte("1"), []byte("2")}))
 	})
 
-	It("says of the whole what is known of its tasks", func() {
+	It("reports whether the submission ran from the states of its tasks", func() {
 		j := newJob()
 		j.Place(0, "x")
 		j.Place(1, "x")
@@ -126,7 +126,7 @@
 		Expect(j.Answer().Results).To(BeNil())
 	})
 
-	It("knows a result of another agent or attempt from its own", func() {
+	It("awaits no result of another agent or attempt", func() {
 		j := newJob()
 		j.Place(0, "x")
 		j.HandBack(0)
@@ -145,19 +145,19 @@
 	f.Add([]byte(strings.Repeat(`{"tasks":[`, 200)))
 	f.Add([]byte("{\"id\":\"\x00\"}"))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		s, err := check(string(body))
+		s, err := decodeAndCheck(string(body))
 		if err != nil {
 			if failure.From(err).Kind == failure.Internal {
-				t.Fatalf("a bad body is called an internal fault: %v", err)
+				t.Fatalf("an invalid body is refused as an internal error: %v", err)
 			}
 			return
 		}
 		if len(s.Payloads) == 0 || len(s.Payloads) > limits.Tasks {
-			t.Fatalf("%d tasks pass", len(s.Payloads))
+			t.Fatalf("%d tasks are accepted", len(s.Payloads))
 		}
 		for _, p := range s.Payloads {
 			if !json.Valid(p) {
-				t.Fatalf("payload %q passes", p)
+				t.Fatalf("payload %q is accepted", p)
 			}
 		}
 	})
--- a/submissions/job/submission.go
+++ b/submissions/job/submission.go
@@ -1,6 +1,6 @@
-// Package job holds what a caller submits and is answered, and the state of a
-// job at the entry that runs it. It owns the state of one job, and relies on its
-// caller to tell it of each end once. It does no I/O.
+// Package job defines submissions and their answers, and the state of a job at
+// the entry that runs it. It owns the state of one job and relies on its caller
+// to report the end of each task once. It does no I/O.
 package job
 
 import (
@@ -16,16 +16,16 @@
 
 // Request is the JSON body of a submission.
 type Request struct {
-	// ID is chosen by the caller; the same ID is never started twice.
+	// ID is chosen by the caller. A submission is never started twice under one ID.
 	ID        string `json:"id"`
-	Workspace string `json:"team"` // called team on the wire, as the users first called it
+	Workspace string `json:"team"` // the JSON keeps "team", the users' first word for a workspace
 	Pool      string `json:"pool"`
-	// TimeoutMS is the time until the deadline, in milliseconds from arrival.
-	// Either it or Deadline may be given, or neither.
+	// TimeoutMS is the time from arrival to the deadline in milliseconds. At most
+	// one of it and Deadline may be given.
 	TimeoutMS int64 `json:"timeout_ms,omitempty"`
-	// Deadline is the wall clock time of the deadline (RFC 3339).
+	// Deadline is the deadline in wall clock time (RFC 3339).
 	Deadline *time.Time `json:"deadline,omitempty"`
-	// NotRepeatable marks work that must run at most once whatever happens.
+	// NotRepeatable marks tasks that must run at most once in any case.
 	NotRepeatable bool          `json:"not_repeatable,omitempty"`
 	Tasks         []TaskRequest `json:"tasks"`
 }
@@ -35,27 +35,28 @@
 	Payload json.RawMessage `json:"payload"` // any JSON value
 }
 
-// Limits bounds what a Request may hold.
+// Limits holds the limits on a Request.
 type Limits struct {
-	Tasks          int           // tasks in a submission
-	PayloadBytes   int           // JSON text of one payload
+	Tasks          int           // tasks of a submission
+	PayloadBytes   int           // size of the JSON text of one payload
 	Timeout        time.Duration // longest time until the deadline
-	DefaultTimeout time.Duration // when the caller names none
+	DefaultTimeout time.Duration // time until the deadline if the request has none
 }
 
-// Submission is a Request whose form has been checked. Whether it may run is
-// decided later, once it is known that no other copy of it does.
+// Submission is a Request whose form is valid. Package dispatch decides whether
+// it may run, after it has claimed the ID so that no duplicate runs.
 type Submission struct {
 	ID            string
 	Workspace     string
 	Pool          string
-	Deadline      time.Time // may have passed
+	Deadline      time.Time // possibly in the past
 	NotRepeatable bool
 	Payloads      [][]byte
 	Digest        Digest
 }
 
-// Digest identifies the content of a submission: all but its ID and deadline.
+// Digest identifies the content of a submission, which is all of it but its ID
+// and its deadline.
 type Digest [sha256.Size]byte
 
 const (
@@ -64,8 +65,8 @@
 	allowedNumber = "%d to %d"
 )
 
-// Check turns r into a Submission, or says which field is wrong. It looks only
-// at what is the same for each copy of a submission.
+// Check returns r as a Submission, or an error that names the invalid field. It
+// checks only properties in which all duplicates of a submission agree.
 func (r *Request) Check(now time.Time, l Limits) (*Submission, error) {
 	names := []struct{ field, value string }{{"id", r.ID}, {"team", r.Workspace}, {"pool", r.Pool}}
 	for _, n := range names {
@@ -92,21 +93,21 @@
 	return s, nil
 }
 
-// ValidName returns whether s may name a submission, workspace, pool or box. Such
-// names are safe in logs, URLs and metric labels.
+// ValidName returns whether s is a valid name of a submission, workspace, pool or
+// box. Such names are safe in logs, URLs and metric labels.
 func ValidName(s string) bool {
 	if len(s) == 0 || len(s) > maxName {
 		return false
 	}
 	for i := range len(s) {
-		if !nameByte(s[i]) {
+		if !validNameByte(s[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-func nameByte(c byte) bool {
+func validNameByte(c byte) bool {
 	switch {
 	case 'a' <= c && c <= 'z', 'A' <= c && c <= 'Z', '0' <= c && c <= '9':
 		return true
--- a/submissions/membership/view_test.go
+++ b/submissions/membership/view_test.go
@@ -16,7 +16,7 @@
 }
 
 var _ = Describe("an entry's view of the agents (hazard 24)", func() {
-	const absent = 30 * time.Second
+	const absentTimeout = 30 * time.Second
 	var v *membership.View
 	now := time.Unix(1_800_000_000, 0)
 	list := func(version uint64, boxes ...membership.Box) membership.BoxList {
@@ -24,16 +24,16 @@
 	}
 	live := func(a string) membership.Box { return membership.Box{Address: a, State: membership.Live} }
 	leaving := func(a string) membership.Box { return membership.Box{Address: a, State: membership.Leaving} }
-	BeforeEach(func() { v = membership.New([]string{"fixed"}, absent) })
+	BeforeEach(func() { v = membership.New([]string{"fixed"}, absentTimeout) })
 
-	It("dials what the list names and settings do not", func() {
+	It("dials agents that the list names and the settings do not", func() {
 		c, ok := v.Apply(now, list(1, live("fixed"), live("new")))
 		Expect(ok).To(BeTrue())
 		Expect(c.Dial).To(ConsistOf("new"))
 		Expect(v.Known()).To(ConsistOf("fixed", "new"))
 	})
 
-	It("passes over a list that is older or empty", func() {
+	It("ignores a list that is older or empty", func() {
 		_, ok := v.Apply(now, list(5, live("a")))
 		Expect(ok).To(BeTrue())
 		_, ok = v.Apply(now, list(4, leaving("a")))
@@ -44,7 +44,7 @@
 		Expect(v.ListedLeaving("a")).To(BeFalse())
 	})
 
-	It("says once that a box leaves, and once that it stays after all", func() {
+	It("reports once that a box is leaving, and once that it no longer is", func() {
 		_, _ = v.Apply(now, list(1, live("a")))
 		c, _ := v.Apply(now, list(2, leaving("a")))
 		Expect(c.Leaving).To(ConsistOf("a"))
@@ -54,18 +54,18 @@
 		Expect(c.NotLeaving).To(ConsistOf("a"))
 	})
 
-	It("keeps a box that the list loses while it is connected, or only for a reading", func() {
+	It("keeps a box that is missing from the list while it is connected, or from one reading only", func() {
 		_, _ = v.Apply(now, list(1, live("a"), live("b")))
 		v.SetConnected(now, "a", true)
 		_, _ = v.Apply(now, list(2, live("c")))
-		Expect(v.Expire(now.Add(absent - time.Second)).Drop).To(BeEmpty())
-		_, _ = v.Apply(now.Add(absent), list(3, live("b"), live("c")))
-		Expect(v.Expire(now.Add(2 * absent)).Drop).To(BeEmpty())
-		v.SetConnected(now.Add(2*absent), "a", false)
-		Expect(v.Expire(now.Add(3 * absent)).Drop).To(ConsistOf("a"))
+		Expect(v.Expire(now.Add(absentTimeout - time.Second)).Drop).To(BeEmpty())
+		_, _ = v.Apply(now.Add(absentTimeout), list(3, live("b"), live("c")))
+		Expect(v.Expire(now.Add(2 * absentTimeout)).Drop).To(BeEmpty())
+		v.SetConnected(now.Add(2*absentTimeout), "a", false)
+		Expect(v.Expire(now.Add(3 * absentTimeout)).Drop).To(ConsistOf("a"))
 	})
 
-	It("never drops what its settings name", func() {
+	It("never drops agents named in the settings", func() {
 		_, _ = v.Apply(now, list(1, live("a")))
 		Expect(v.Expire(now.Add(time.Hour)).Drop).To(BeEmpty())
 		Expect(v.Known()).To(ContainElement("fixed"))
--- a/submissions/placement/outliers.go
+++ b/submissions/placement/outliers.go
@@ -27,7 +27,7 @@
 	detectInterval = 100 * time.Millisecond // between two passes over all pools
 	sampleWeight   = 0.1                    // weight of the newest task in the averages
 	minSamples     = 8                      // tasks before an agent can be an outlier
-	decayPerPass   = 0.995                  // factor per pass on the failure share and on the run time's distance to the median
+	decayPerPass   = 0.995                  // factor per pass on failure share and distance to the median run time
 	maxFactor      = 50                     // limit on the factor of a slow agent
 	failFactor     = 30                     // factor of an agent that fails far more tasks than the others
 	failMargin     = 0.25                   // failure share above that of the median agent that makes an outlier
