--- a/submissions/dispatch/core.go
+++ b/submissions/dispatch/core.go
@@ -72,8 +72,8 @@
 	Answer *job.Answer
 }
 
-// Effects lists what the caller of the core has to do after events, each list
-// in the order in which it is to be done.
+// Effects lists what the caller of the core has to do after events: connect to
+// peers, send messages and return answers, each in the order of its list.
 type Effects struct {
 	Dials      []string // peers to connect to
 	Sends      []Send
--- a/submissions/dispatch/record.go
+++ b/submissions/dispatch/record.go
@@ -31,7 +31,7 @@
 	job     *job.Job
 	answer  *job.Answer
 	bytes   int           // size of the answer's results
-	kept    *list.Element // in the keptRecords, when answered or abandoned
+	kept    *list.Element // in keptRecords, when answered or abandoned
 	keptAt  time.Time
 }
 
--- a/submissions/dispatch/silence.go
+++ b/submissions/dispatch/silence.go
@@ -63,7 +63,8 @@
 
 // markSilent marks the peer as silent until a message from it arrives. If more
 // than SilentShare of the agents would be silent at once, the entry suspects its
-// own network or process instead and goes on placing tasks at the agent.
+// own network or process instead and goes on placing tasks at the agent, but
+// sends no claims to it.
 func (c *Core) markSilent(peer string) {
 	p := c.peers[peer]
 	if p == nil || p.silent {
--- a/submissions/dispatch/world_test.go
+++ b/submissions/dispatch/world_test.go
@@ -418,7 +418,7 @@
 	c := w.calls[d.Caller]
 	switch {
 	case c == nil || c.answer != nil:
-		w.t.Fatalf("an answer for nobody: %+v", d)
+		w.t.Fatalf("an answer without a waiting caller: %+v", d)
 	case d.Answer.Submission != c.sub.ID:
 		w.t.Fatalf("caller of %s is answered for %s", c.sub.ID, d.Answer.Submission)
 	}
