--- a/submissions/dispatch/claims.go
+++ b/submissions/dispatch/claims.go
@@ -24,8 +24,8 @@
 }
 
 // claim asks the holder of the submission's ID to grant it to this entry. If
-// the holder is not connected or silent, the caller gets a refusal at once, and
-// a silent holder is probed.
+// the holder is silent or not connected, the caller gets a refusal at once; a
+// silent holder is also probed.
 func (c *Core) claim(now time.Time, r *record) {
 	r.phase = claiming
 	holder := claim.HolderOf(r.sub.ID, c.cfg.Holders)
@@ -100,9 +100,9 @@
 
 // handleHeld handles an ID that was granted before. If it was granted to
 // another entry, that entry is asked for its answer. If it was granted to a
-// claim of this incarnation that timed out before the reply arrived, nothing
+// claim of this incarnation that was given up before the reply arrived, nothing
 // was started by that claim and the submission is admitted now. Any other grant
-// to this entry may have been used, and its answer forgotten.
+// to this entry may have been used, and its answer discarded.
 func (c *Core) handleHeld(now time.Time, r *record, owner claim.Owner, seq uint64) {
 	if owner.Address != c.cfg.Self.Address {
 		c.fetch(now, r, owner, seq)
--- a/submissions/dispatch/place.go
+++ b/submissions/dispatch/place.go
@@ -61,7 +61,7 @@
 
 // sendTo sends tasks that already count as outstanding at the agent. Tasks that
 // may still be handed back as busy are sent with a limit on the agent's queue;
-// those handed back too often are sent without one.
+// those that have reached the limit of bounces are sent without one.
 func (c *Core) sendTo(now time.Time, r *record, agent string, indexes []int) {
 	c.count.Placed(len(indexes))
 	c.restartSilenceTimer(now, agent, len(indexes))
--- a/submissions/dispatch/record.go
+++ b/submissions/dispatch/record.go
@@ -132,8 +132,9 @@
 	return &out
 }
 
-// refusal returns a failed answer of the given kind. ran is what is known of
-// whether the submission ran, after the suggested delay before a resend.
+// refusal returns a failed answer to the submission of r. ran states whether the
+// submission ran as far as is known; after is the suggested delay before it is
+// resent, or zero.
 func refusal(r *record, k failure.Kind, reason string, ran failure.Ran, after time.Duration) *job.Answer {
 	e := failure.New(k, reason)
 	e.RetryAfter = after
--- a/submissions/dispatch/submit.go
+++ b/submissions/dispatch/submit.go
@@ -124,7 +124,7 @@
 
 // The bounds of the delay suggested to refused callers, before jitter.
 const (
-	minPause = 50 * time.Millisecond // the shortest task
+	minPause = 50 * time.Millisecond // run time of the shortest tasks
 	maxPause = 5 * time.Second
 )
 
