--- a/jobs/room/requests.go
+++ b/jobs/room/requests.go
@@ -50,7 +50,7 @@
 // Request replaces the tasks that wait at the owner, a coordinator by the name of its
 // connection. A request without waiting tasks withdraws the one before, and ends the owner's
 // grants. A request that arrives late or twice is ignored.
-func (t *Table) Request(now time.Time, owner string, m *wire.RoomAsk) {
+func (t *Table) Request(now time.Time, owner string, m *wire.CapacityRequest) {
 	t.OrderReceived(now, owner, m.Seen)
 	t.expireGrants(now)
 	r := t.requesters[owner]
@@ -74,9 +74,9 @@
 	t.countUnseenGrants(owner, r)
 }
 
-func newWaitingTasks(now time.Time, owner string, rows []wire.RoomWait) []*waitingTasks {
+func newWaitingTasks(now time.Time, owner string, rows []wire.WaitingGroup) []*waitingTasks {
 	var waiting []*waitingTasks
-	for i := range rows[:min(len(rows), wire.MostWaits)] {
+	for i := range rows[:min(len(rows), wire.MaxWaits)] {
 		r := &rows[i]
 		w := &waitingTasks{
 			owner:         owner,
--- a/jobs/scheduler/waits.go
+++ b/jobs/scheduler/waits.go
@@ -64,7 +64,7 @@
 		out[i].add(t, deadlineOf(t))
 	}
 	slices.SortFunc(out, func(a, b waitingGroup) int { return a.from.Compare(b.from) })
-	return out[:min(wire.MostWaits, len(out))]
+	return out[:min(wire.MaxWaits, len(out))]
 }
 
 func (g *waitingGroup) add(t *task, deadline time.Time) {
@@ -120,8 +120,8 @@
 }
 
 // message returns the group as a capacity request names it. The work is one worker's share.
-func (g *waitingGroup) message(now time.Time) wire.RoomWait {
-	return wire.RoomWait{
+func (g *waitingGroup) message(now time.Time) wire.WaitingGroup {
+	return wire.WaitingGroup{
 		WaitingWork: wire.WaitingWork{
 			Priority: g.priority,
 			FirstMS:  g.from.Sub(now).Milliseconds(),
--- a/jobs/worker/renew.go
+++ b/jobs/worker/renew.go
@@ -81,7 +81,7 @@
 }
 
 func (w *Worker) nextRenewal() renewal {
-	n, _ := loop.Ask(w.loop, func(answer chan<- renewal) event { return renewalRequested{answer} })
+	n, _ := loop.Call(w.loop, func(answer chan<- renewal) event { return renewalRequested{answer} })
 	return n // ok is false after the loop has ended
 }
 
--- a/wire/kinds.go
+++ b/wire/kinds.go
@@ -1,77 +1,77 @@
 package wire
 
-// Kind is the byte that names a message's type on the wire. A number is never
-// used again for another message.
+// Kind is the byte that identifies a message's type on the wire. The number of a message that was
+// removed is not reused.
 type Kind uint8
 
 // The kinds of message.
 const (
-	KindHello          Kind = 1
-	KindPlace          Kind = 2
-	KindCancel         Kind = 3
-	KindResults        Kind = 4
-	KindClaim          Kind = 5
-	KindClaimed        Kind = 6 // ClaimReply
-	KindFetch          Kind = 7
-	KindFetched        Kind = 8
-	KindPing           Kind = 9
-	KindLeave          Kind = 10 // LeaveAck
-	KindOwnerHeartbeat Kind = 11
-	KindWorkerStatus   Kind = 12
-	KindStartRuns      Kind = 13
-	KindStopRuns       Kind = 14
-	KindRunEnds        Kind = 15
-	KindEndsKept       Kind = 16
-	KindPartitionRuns  Kind = 17
-	KindJobCall        Kind = 18
-	KindJobReply       Kind = 19
-	KindQueueCounts    Kind = 20
-	KindHandOver       Kind = 21
-	KindRunsQuery      Kind = 22
-	KindRunNeeds       Kind = 23
-	KindKeepAlive      Kind = 24
-	KindKeepAliveAck   Kind = 25
-	KindCrashNews      Kind = 26
-	KindRecorded       Kind = 27 // RecordedBackend
-	KindRoomAsk        Kind = 28
+	KindHello           Kind = 1
+	KindPlace           Kind = 2
+	KindCancel          Kind = 3
+	KindResults         Kind = 4
+	KindClaim           Kind = 5
+	KindClaimReply      Kind = 6
+	KindFetch           Kind = 7
+	KindFetched         Kind = 8
+	KindPing            Kind = 9
+	KindLeaveAck        Kind = 10
+	KindOwnerHeartbeat  Kind = 11
+	KindWorkerStatus    Kind = 12
+	KindStartRuns       Kind = 13
+	KindStopRuns        Kind = 14
+	KindRunEnds         Kind = 15
+	KindEndsKept        Kind = 16
+	KindPartitionRuns   Kind = 17
+	KindJobCall         Kind = 18
+	KindJobReply        Kind = 19
+	KindQueueCounts     Kind = 20
+	KindHandOver        Kind = 21
+	KindRunsQuery       Kind = 22
+	KindRunNeeds        Kind = 23
+	KindKeepAlive       Kind = 24
+	KindKeepAliveAck    Kind = 25
+	KindCrashReport     Kind = 26
+	KindRecordedBackend Kind = 27
+	KindCapacityRequest Kind = 28
 )
 
-// kind is what a frame needs to know of a kind of message.
-type kind struct {
-	name string         // in metric labels; it stays when the Go type is renamed
-	new  func() Message // an empty message to read into
+// kindInfo holds the name and the constructor of a kind of message.
+type kindInfo struct {
+	name string         // in metric labels; independent of the name of the Go type
+	new  func() Message // returns an empty message to decode into
 }
 
-// kinds holds every kind by its number; there is none of number 0.
-var kinds = [...]kind{
-	KindHello:          {"hello", func() Message { return &Hello{} }},
-	KindPlace:          {"place", func() Message { return &Place{} }},
-	KindCancel:         {"cancel", func() Message { return &Cancel{} }},
-	KindResults:        {"results", func() Message { return &Results{} }},
-	KindClaim:          {"claim", func() Message { return &Claim{} }},
-	KindClaimed:        {"claim_reply", func() Message { return &ClaimReply{} }},
-	KindFetch:          {"fetch", func() Message { return &Fetch{} }},
-	KindFetched:        {"fetched", func() Message { return &Fetched{} }},
-	KindPing:           {"ping", func() Message { return &Ping{} }},
-	KindLeave:          {"leave_ack", func() Message { return &LeaveAck{} }},
-	KindOwnerHeartbeat: {"owner_heartbeat", func() Message { return &OwnerHeartbeat{} }},
-	KindWorkerStatus:   {"worker_status", func() Message { return &WorkerStatus{} }},
-	KindStartRuns:      {"start_runs", func() Message { return &StartRuns{} }},
-	KindStopRuns:       {"stop_runs", func() Message { return &StopRuns{} }},
-	KindRunEnds:        {"run_ends", func() Message { return &RunEnds{} }},
-	KindEndsKept:       {"ends_kept", func() Message { return &EndsKept{} }},
-	KindPartitionRuns:  {"partition_runs", func() Message { return &PartitionRuns{} }},
-	KindJobCall:        {"job_call", func() Message { return &JobCall{} }},
-	KindJobReply:       {"job_reply", func() Message { return &JobReply{} }},
-	KindQueueCounts:    {"queue_counts", func() Message { return &QueueCounts{} }},
-	KindHandOver:       {"hand_over", func() Message { return &HandOver{} }},
-	KindRunsQuery:      {"claim_runs", func() Message { return &RunsQuery{} }},
-	KindRunNeeds:       {"run_needs", func() Message { return &RunNeeds{} }},
-	KindKeepAlive:      {"keep_alive", func() Message { return &KeepAlive{} }},
-	KindKeepAliveAck:   {"keep_alive_ack", func() Message { return &KeepAliveAck{} }},
-	KindCrashNews:      {"crash_news", func() Message { return &CrashNews{} }},
-	KindRecorded:       {"recorded_backend", func() Message { return &RecordedBackend{} }},
-	KindRoomAsk:        {"room_ask", func() Message { return &RoomAsk{} }},
+// kinds is indexed by Kind; number 0 is not used.
+var kinds = [...]kindInfo{
+	KindHello:           {"hello", func() Message { return &Hello{} }},
+	KindPlace:           {"place", func() Message { return &Place{} }},
+	KindCancel:          {"cancel", func() Message { return &Cancel{} }},
+	KindResults:         {"results", func() Message { return &Results{} }},
+	KindClaim:           {"claim", func() Message { return &Claim{} }},
+	KindClaimReply:      {"claim_reply", func() Message { return &ClaimReply{} }},
+	KindFetch:           {"fetch", func() Message { return &Fetch{} }},
+	KindFetched:         {"fetched", func() Message { return &Fetched{} }},
+	KindPing:            {"ping", func() Message { return &Ping{} }},
+	KindLeaveAck:        {"leave_ack", func() Message { return &LeaveAck{} }},
+	KindOwnerHeartbeat:  {"owner_heartbeat", func() Message { return &OwnerHeartbeat{} }},
+	KindWorkerStatus:    {"worker_status", func() Message { return &WorkerStatus{} }},
+	KindStartRuns:       {"start_runs", func() Message { return &StartRuns{} }},
+	KindStopRuns:        {"stop_runs", func() Message { return &StopRuns{} }},
+	KindRunEnds:         {"run_ends", func() Message { return &RunEnds{} }},
+	KindEndsKept:        {"ends_kept", func() Message { return &EndsKept{} }},
+	KindPartitionRuns:   {"partition_runs", func() Message { return &PartitionRuns{} }},
+	KindJobCall:         {"job_call", func() Message { return &JobCall{} }},
+	KindJobReply:        {"job_reply", func() Message { return &JobReply{} }},
+	KindQueueCounts:     {"queue_counts", func() Message { return &QueueCounts{} }},
+	KindHandOver:        {"hand_over", func() Message { return &HandOver{} }},
+	KindRunsQuery:       {"claim_runs", func() Message { return &RunsQuery{} }},
+	KindRunNeeds:        {"run_needs", func() Message { return &RunNeeds{} }},
+	KindKeepAlive:       {"keep_alive", func() Message { return &KeepAlive{} }},
+	KindKeepAliveAck:    {"keep_alive_ack", func() Message { return &KeepAliveAck{} }},
+	KindCrashReport:     {"crash_news", func() Message { return &CrashReport{} }},
+	KindRecordedBackend: {"recorded_backend", func() Message { return &RecordedBackend{} }},
+	KindCapacityRequest: {"room_ask", func() Message { return &CapacityRequest{} }},
 }
 
 // String returns the kind's name, as used in metric labels.
@@ -82,7 +82,7 @@
 	return kinds[k].name
 }
 
-// Kinds returns all kinds of message, by their numbers.
+// Kinds returns all kinds of message in ascending order of their numbers.
 func Kinds() []Kind {
 	var out []Kind
 	for k := range Kind(len(kinds)) {
@@ -95,8 +95,7 @@
 
 func (k Kind) known() bool { return int(k) < len(kinds) && kinds[k].new != nil }
 
-// newMessage returns an empty message of the kind, or nil for one that is not
-// known.
+// newMessage returns an empty message of the kind, or nil if the kind is unknown.
 func newMessage(k Kind) Message {
 	if !k.known() {
 		return nil
@@ -104,7 +103,7 @@
 	return kinds[k].new()
 }
 
-// Message is what a frame carries.
+// Message is the content of a frame.
 type Message interface {
 	WireKind() Kind
 	MarshalMsg(b []byte) ([]byte, error)
@@ -126,8 +125,8 @@
 // WireKind returns KindClaim.
 func (*Claim) WireKind() Kind { return KindClaim }
 
-// WireKind returns KindClaimed.
-func (*ClaimReply) WireKind() Kind { return KindClaimed }
+// WireKind returns KindClaimReply.
+func (*ClaimReply) WireKind() Kind { return KindClaimReply }
 
 // WireKind returns KindFetch.
 func (*Fetch) WireKind() Kind { return KindFetch }
@@ -138,8 +137,8 @@
 // WireKind returns KindPing.
 func (*Ping) WireKind() Kind { return KindPing }
 
-// WireKind returns KindLeave.
-func (*LeaveAck) WireKind() Kind { return KindLeave }
+// WireKind returns KindLeaveAck.
+func (*LeaveAck) WireKind() Kind { return KindLeaveAck }
 
 // WireKind returns KindOwnerHeartbeat.
 func (*OwnerHeartbeat) WireKind() Kind { return KindOwnerHeartbeat }
@@ -186,11 +185,11 @@
 // WireKind returns KindKeepAliveAck.
 func (*KeepAliveAck) WireKind() Kind { return KindKeepAliveAck }
 
-// WireKind returns KindRecorded.
-func (*RecordedBackend) WireKind() Kind { return KindRecorded }
+// WireKind returns KindRecordedBackend.
+func (*RecordedBackend) WireKind() Kind { return KindRecordedBackend }
 
-// WireKind returns KindCrashNews.
-func (*CrashNews) WireKind() Kind { return KindCrashNews }
+// WireKind returns KindCrashReport.
+func (*CrashReport) WireKind() Kind { return KindCrashReport }
 
-// WireKind returns KindRoomAsk.
-func (*RoomAsk) WireKind() Kind { return KindRoomAsk }
+// WireKind returns KindCapacityRequest.
+func (*CapacityRequest) WireKind() Kind { return KindCapacityRequest }
