--- a/submissions/dispatch/bench_test.go
+++ b/submissions/dispatch/bench_test.go
@@ -13,8 +13,9 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// BenchmarkJobOf20 takes a job of 20 tasks from its submission to its answer,
-// with 960 agents, looking at all of them or at two for each task.
+// BenchmarkJobOf20 runs a job of 20 tasks from its submission to its answer
+// with 960 agents. Choices of 0 uses the default number of agents drawn for a
+// task, 2 draws two.
 func BenchmarkJobOf20(b *testing.B) {
 	for _, choices := range []int{0, 2} {
 		b.Run(fmt.Sprintf("choices=%d", choices), func(b *testing.B) {
@@ -50,14 +51,14 @@
 	c.Submit(now, n, s)
 	claimed := c.Take().Sends[0]
 	m := claimed.Message.(*wire.Claim)
-	c.Message(now, claimed.Peer, &wire.ClaimReply{Seq: m.Seq, Verdict: uint8(claim.Granted)})
+	c.HandleMessage(now, claimed.Peer, &wire.ClaimReply{Seq: m.Seq, Verdict: uint8(claim.Granted)})
 	for _, send := range c.Take().Sends {
 		p := send.Message.(*wire.Place)
 		r := &wire.Results{}
 		for _, t := range p.Tasks {
 			r.Items = append(r.Items, wire.Result{Job: p.Job, Index: t.Index, Attempt: t.Attempt, Ran: 2})
 		}
-		c.Message(now, send.Peer, r)
+		c.HandleMessage(now, send.Peer, r)
 	}
 	c.Take()
 }
