--- a/config/dedup.go
+++ b/config/dedup.go
@@ -12,8 +12,8 @@
 	// again; the users' platform determines it.
 	ResendAfter Duration `json:"resend_after"`
 	// StartupWait is how long a coordinator that has just started waits for other coordinators
-	// to announce their jobs, once it knows their addresses. It is several times the duration
-	// of connecting; callers wait as long.
+	// to announce their jobs, once it knows their addresses. It is several times as
+	// long as connecting takes; best-effort jobs submitted to it in this time are delayed.
 	StartupWait Duration `json:"greeting"`
 }
 
--- a/config/ownership.go
+++ b/config/ownership.go
@@ -14,8 +14,9 @@
 	CallLimit   Duration `json:"call_limit"`   // timeout of one join; at most a TTL
 	AppendLimit Duration `json:"append_limit"` // timeout of one append, after which it is repeated
 	ReadLimit   Duration `json:"read_limit"`   // timeout for reading a partition
-	// Announce is the interval between announcements to other coordinators, which would
-	// otherwise forward calls to the wrong coordinator.
+	// Announce is how often a coordinator checks whether others could forward a call to the
+	// wrong coordinator by its last announcement, and announces itself anew if they could. It
+	// does so every second in any case.
 	Announce     Duration `json:"tell"`
 	Flush        Duration `json:"flush"`         // limit on the wait for the store at a planned stop
 	ReconnectMax Duration `json:"reconnect_max"` // longest pause before a lost peer is dialled again
--- a/jobs/coordinator/announce.go
+++ b/jobs/coordinator/announce.go
@@ -19,8 +19,8 @@
 }
 
 const (
-	// maxAnnounceInterval is the longest time between two announcements. Users allow 2 s for the
-	// age of the counts of waiting jobs that other coordinators have of us.
+	// maxAnnounceInterval is the longest time between two announcements. Users require
+	// that the counts of our waiting jobs at other coordinators are at most 2 s old.
 	maxAnnounceInterval = time.Second
 	// jobHeldTwice is the log message and metric label of a best-effort job that another
 	// coordinator holds too.
--- a/jobs/coordinator/coordinator.go
+++ b/jobs/coordinator/coordinator.go
@@ -99,9 +99,10 @@
 	controlStalled = "control_late"
 	// tickInterval is how often the core checks its time limits. The shortest of them is 100 ms.
 	tickInterval = 20 * time.Millisecond
-	// operatorsRetryPause is the pause between attempts to read the operators' records while the
-	// store does not answer. It is a thirtieth of the time within which an evacuation has to take
-	// effect, and costs ten calls a second per coordinator.
+	// operatorsRetryPause is the pause after the first failed read of the operators' records. It
+	// is a thirtieth of the time within which an evacuation has to take effect. The store's
+	// client lengthens it while reads go on failing, so that an outage costs less than ten calls
+	// a second per coordinator.
 	operatorsRetryPause = 100 * time.Millisecond
 )
 
@@ -116,7 +117,7 @@
 		Advertise:    cfg.Peers.Advertise,
 		ReadLimit:    readLimit,
 	}
-	steady, err := clock.System()
+	clk, err := clock.System()
 	if err != nil {
 		return nil, err
 	}
@@ -124,7 +125,7 @@
 	if err != nil {
 		return nil, errs.Wrap(err)
 	}
-	c := newCoordinator(cfg, s, m, log, steady)
+	c := newCoordinator(cfg, s, m, log, clk)
 	c.peers, c.peerOpts = peers, opts
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.run()
@@ -132,10 +133,10 @@
 	return c, nil
 }
 
-func newCoordinator(cfg *config.Coordinator, s store.Store, m *metrics.Jobs, log *logging.Log, steady *clock.Clock) *Coordinator {
+func newCoordinator(cfg *config.Coordinator, s store.Store, m *metrics.Jobs, log *logging.Log, clk *clock.Clock) *Coordinator {
 	return &Coordinator{
 		cfg:         cfg,
-		clock:       steady,
+		clock:       clk,
 		log:         log,
 		store:       s,
 		metrics:     m,
@@ -176,8 +177,8 @@
 
 // stalled handles the end of a stall, in which the control goroutine handled no event. Callers
 // may have sent the jobs that we hold again in the meantime, and calls that we read now may have
-// been sent long ago. After a stall of RunsEndWithin other coordinators have discarded our last
-// announcement, so our jobs count as unannounced.
+// been sent long ago. In a stall of RunsEndWithin or longer, other coordinators may have
+// discarded our last announcement, so our jobs count as unannounced afterwards.
 func (c *Coordinator) stalled(now time.Time, length time.Duration) {
 	c.metrics.Decision(controlStalled)
 	c.log.Warn(controlStalled, zap.Int64("late_ms", length.Milliseconds()))
--- a/jobs/coordinator/inbound.go
+++ b/jobs/coordinator/inbound.go
@@ -8,9 +8,9 @@
 )
 
 // inboundConns orders the connections that other coordinators have made to us by when they were
-// made, so that messages over an older connection can be dropped. A coordinator that gives up a
-// connection makes a new one; when the network partition behind it ends, messages over the old
-// connection may still arrive. An old announcement would replace the current list of its
+// made, so that messages over an older connection can be dropped. A coordinator that closes a
+// broken connection makes a new one; when the network works again, messages that it sent over the
+// old connection may still arrive. An old announcement would replace the current list of its
 // best-effort jobs, and an old call whose caller has sent it again would run the job twice.
 type inboundConns struct {
 	count   uint64                // of connections so far
@@ -50,8 +50,9 @@
 }
 
 // dialBack connects at once to a coordinator that has connected to us. It may have just started
-// and wait for our announcement, while we dial an address that was unreachable for long only now
-// and then, or have not read its registration yet.
+// and wait for our announcement. Without this we would reach it late: we dial an address that was
+// unreachable for long only every few seconds, and cannot dial one before we have read its
+// registration.
 func (c *Coordinator) dialBack(now time.Time, h *wire.Hello) {
 	l := c.links[h.Address]
 	switch {
--- a/jobs/coordinator/members.go
+++ b/jobs/coordinator/members.go
@@ -67,8 +67,8 @@
 }
 
 // maxNamedMembers is the largest number of new processes of one reading that are logged by address.
-// At a start of all there is one per box, and a line for each at each coordinator would only repeat
-// what the store has.
+// When all processes start at once there are as many as boxes, and a line for each at every
+// coordinator would only repeat what the store has.
 const maxNamedMembers = 32
 
 // logNewMembers logs the processes that are new: each address, or only their number if there are
--- a/jobs/dedup/dedup.go
+++ b/jobs/dedup/dedup.go
@@ -183,19 +183,19 @@
 }
 
 const (
-	// announceInterval is the longest time between two announcements of a coordinator.
-	announceInterval = time.Second
+	// maxAnnounceInterval is the longest time between two announcements of a coordinator.
+	maxAnnounceInterval = time.Second
 	// announceTimeout is how long after its last announcement a coordinator counts as lost. An
 	// announcement that was sent over a broken connection may be read after LinkLost, and would
 	// otherwise hold its jobs for ever.
-	announceTimeout = 3 * announceInterval
+	announceTimeout = 3 * maxAnnounceInterval
 )
 
 // runsEnd returns when all runs ordered by a lost coordinator have ended. It counts from the
-// loss of the link, or, where the loss was noticed late, from announceInterval after the last
+// loss of the link, or, where the loss was noticed late, from maxAnnounceInterval after the last
 // announcement: a coordinator that was still running would have announced again by then.
 func (t *Table) runsEnd(a *announcement) time.Time {
-	last := a.receivedAt.Add(announceInterval)
+	last := a.receivedAt.Add(maxAnnounceInterval)
 	if a.lostAt.Before(last) {
 		last = a.lostAt
 	}
--- a/jobs/registration/registration.go
+++ b/jobs/registration/registration.go
@@ -43,8 +43,8 @@
 
 // retryBackoff is the pause after a failed append, half of it random. The usual cause is a full
 // queue of appends, which the store lets grow to 2 s of work and so takes 2 s to drain. At 2,000
-// boxes a fixed pause of 300 ms led to 204,891 refusals, and the first start of all took more than
-// a minute (platform TestFleet).
+// boxes a fixed pause of 300 ms led to 204,891 refusals, and the first start of all boxes took more
+// than a minute (platform TestFleet).
 var retryBackoff = retry.Backoff{Base: 2 * time.Second, Max: 4 * time.Second}
 
 // Registrar writes the record of one process. All methods but Report are for one goroutine at a
--- a/jobs/room/grants.go
+++ b/jobs/room/grants.go
@@ -11,8 +11,8 @@
 	// maxBypass is how long later tasks may be granted capacity while the earliest does not
 	// fit: a tenth of the time after which callers retry.
 	maxBypass = 100 * time.Millisecond
-	// maxLapses is the number of pauses in a row with lapsed grants at which an owner is
-	// deprioritised.
+	// maxLapses is how many lapses in a row deprioritise an owner. Grants that lapse in one
+	// pause of the owner count as one lapse.
 	maxLapses = 3
 	// minLapsePenalty and maxLapsePenalty bound how long an owner ranks last after it let
 	// grants lapse; the time doubles with each further lapse. At the maximum the owner is
--- a/jobs/speed/deviation.go
+++ b/jobs/speed/deviation.go
@@ -27,7 +27,8 @@
 
 // permanent returns whether the deviation is to become the new baseline. One to the faster side
 // does so after maxSamples runs, however short the period: nothing makes a server faster than it
-// is, so the server was slowed while the baseline was learned, or that had too few runs.
+// is, so the old baseline was wrong: it was learned while the server was slowed, or from too few
+// runs.
 func (d *deviation) permanent(now time.Time) bool {
 	if !d.slower {
 		return len(d.ratios) == maxSamples
--- a/jobs/speed/speed.go
+++ b/jobs/speed/speed.go
@@ -27,7 +27,7 @@
 	EndedBefore uint64  // Meter.Runs when it began
 }
 
-// deviationFactor is how many times as long as usual, or as short, the latest runs must take
+// deviationFactor is the factor by which the latest runs must be longer or shorter than usual
 // for the baseline to stop following them.
 const deviationFactor = 1.5
 
--- a/jobs/worker/worker.go
+++ b/jobs/worker/worker.go
@@ -72,12 +72,12 @@
 
 const (
 	// readLimit is how long a coordinator's connection may stay silent. Heartbeats arrive five
-	// times a second, and the coordinator's lease has expired long before.
+	// times a second, and the coordinator's lease expires well before this limit.
 	readLimit = 5 * time.Second
 	// backlog is how many events may wait for the control goroutine; posting blocks beyond that.
 	backlog = 2048
-	// controlLate is the log line and metric label for a stall of the control goroutine.
-	controlLate = "control_late"
+	// controlStalled is the log message and metric label of a stall of the control goroutine.
+	controlStalled = "control_late"
 	// tickInterval is the time between two calls of the table's Tick: well below the shortest
 	// timeout in the table, 50 ms.
 	tickInterval = 25 * time.Millisecond
@@ -144,8 +144,8 @@
 // stalled records that the control goroutine did nothing for a while. Nothing else is needed:
 // leases expire by the clock, not by the number of ticks.
 func (w *Worker) stalled(_ time.Time, by time.Duration) {
-	w.metrics.Decision(controlLate)
-	w.log.Warn(controlLate, zap.Int64("late_ms", by.Milliseconds()))
+	w.metrics.Decision(controlStalled)
+	w.log.Warn(controlStalled, zap.Int64("late_ms", by.Milliseconds()))
 }
 
 func (w *Worker) hello() *wire.Hello {
--- a/lib/failure/kind.go
+++ b/lib/failure/kind.go
@@ -51,7 +51,8 @@
 // Ran says whether the work that a failure concerns was started.
 type Ran uint8
 
-// The values of Ran. RanUnknown is the zero value, so that a field that was not set promises nothing.
+// The values of Ran. RanUnknown is the zero value, so that an unset field does not state that the
+// work was not run.
 const (
 	RanUnknown Ran = iota
 	NotRun
--- a/lib/loop/loop.go
+++ b/lib/loop/loop.go
@@ -14,7 +14,7 @@
 const minSuspension = 5 * time.Millisecond
 
 // MinStall is the shortest stall of the goroutine for which Steps.Stalled is called. It is half of the
-// shortest timeout that other processes have for the messages of a process.
+// shortest time within which other processes expect a message from this one.
 const MinStall = 100 * time.Millisecond
 
 // Clock is the time source of a loop.
--- a/wire/jobs.go
+++ b/wire/jobs.go
@@ -91,8 +91,8 @@
 // withdraws it.
 type CapacityRequest struct {
 	Seq uint64 // increases with each CapacityRequest on a connection
-	// Seen is the Stamp of the newest status that the sender has handled: the sender uses none
-	// of the grants up to it any further.
+	// Seen is the Stamp of the newest status that the sender has handled. It will not use the
+	// grants that were advertised up to that status any more.
 	Seen  int64
 	Waits []WaitingGroup
 }
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -86,7 +86,7 @@
 type Result struct {
 	Job     uint64
 	Index   uint32
-	Attempt uint32 // of the Task message that this answers
+	Attempt uint32 // Attempt of the Task that this answers
 	Kind    uint8  // a failure.Kind; None means that Body is the answer
 	Ran     uint8  // a failure.Ran
 	Reason  string
