--- a/submissions/entry/api.go
+++ b/submissions/entry/api.go
@@ -16,18 +16,19 @@
 
 func (e *Entry) routes() http.Handler {
 	r := web.NewEcho()
-	r.HTTPErrorHandler = answerHTTPError
+	r.HTTPErrorHandler = writeHTTPError
 	web.Operate(r, e.registry.Handler, e.log.Level)
 	r.POST("/v1/submissions", e.submit)
 	r.GET("/v1/submissions/:id", e.lookup)
 	r.GET("/v1/ids", e.ids)
-	r.GET("/v1/state", func(c echo.Context) error { return c.JSON(http.StatusOK, e.askState()) })
+	r.GET("/v1/state", func(c echo.Context) error { return c.JSON(http.StatusOK, e.currentState()) })
 	r.GET("/ready", e.ready)
 	return r
 }
 
-// answerHTTPError answers what echo itself refuses, in our own form.
-func answerHTTPError(err error, c echo.Context) {
+// writeHTTPError writes an error that echo itself returns, such as an unknown route, in the form
+// of all other answers.
+func writeHTTPError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
@@ -42,40 +43,43 @@
 		k = failure.Internal
 	}
 	a := job.Refusal("", failure.New(k, reason), k.Row().Ran)
-	_ = c.JSON(status, a) // the caller is gone when it cannot be written
+	_ = c.JSON(status, a) // a write fails only if the caller has disconnected
 }
 
-// submit takes a submission. With ?wait=false it answers at once and the
-// caller asks for the state later.
+// submit accepts a submission and waits for its answer. With ?wait=false it responds at once with
+// status 202, and the caller looks the state up later.
 func (e *Entry) submit(c echo.Context) error {
-	s, err := e.read(c)
+	s, err := e.readSubmission(c)
 	if err != nil {
 		f := failure.From(err)
 		e.count.Answered(f.Kind)
 		return respond(c, job.Refusal("", f, f.Kind.Row().Ran))
 	}
 	answer := make(chan *job.Answer, 1)
-	caller := e.lastCaller.Add(1)
+	caller := e.lastCallerID.Add(1)
 	e.loop.Post(event{kind: evSubmit, caller: caller, answer: answer, sub: s})
 	if c.QueryParam("wait") == "false" {
 		return c.JSON(http.StatusAccepted, &job.Answer{Submission: s.ID, State: job.Running})
 	}
-	return e.await(c, caller, answer)
+	return e.awaitAnswer(c, caller, answer)
 }
 
-func (e *Entry) await(c echo.Context, caller uint64, answer chan *job.Answer) error {
+// awaitAnswer writes the answer of the core once it arrives. If the caller disconnects first, the
+// core's answer is discarded; the submission itself goes on.
+func (e *Entry) awaitAnswer(c echo.Context, caller uint64, answer chan *job.Answer) error {
 	select {
 	case a := <-answer:
 		return respond(c, a)
 	case <-c.Request().Context().Done():
-		e.loop.Post(event{kind: evGone, caller: caller})
+		e.loop.Post(event{kind: evCallerGone, caller: caller})
 		return context.Cause(c.Request().Context())
 	case <-e.loop.Done():
 		return respond(c, job.Refusal("", failure.New(failure.Internal, "the entry ended"), failure.RanUnknown))
 	}
 }
 
-func (e *Entry) read(c echo.Context) (*job.Submission, error) {
+// readSubmission reads the request's body and checks it against the configured limits.
+func (e *Entry) readSubmission(c echo.Context) (*job.Submission, error) {
 	body, fail := web.ReadBody(c.Response(), c.Request(), e.cfg.HTTP.MaxBody)
 	if fail != nil {
 		return nil, fail
@@ -100,12 +104,13 @@
 		return respond(c, job.Refusal("", f, failure.NotRun))
 	}
 	answer := make(chan *job.Answer, 1)
-	caller := e.lastCaller.Add(1)
+	caller := e.lastCallerID.Add(1)
 	e.loop.Post(event{kind: evLookup, caller: caller, answer: answer, id: id})
-	return e.await(c, caller, answer)
+	return e.awaitAnswer(c, caller, answer)
 }
 
-// respond writes the answer with the status and headers that its kind gives.
+// respond writes the answer as JSON, with the status and the Retry-After header that follow from
+// its error.
 func respond(c echo.Context, a *job.Answer) error {
 	if a.Error != nil {
 		web.SetRetryAfter(c.Response().Header(), time.Duration(a.Error.RetryAfterMS)*time.Millisecond)
@@ -113,9 +118,10 @@
 	return c.JSON(a.Status(), a)
 }
 
-// ready says whether work can be taken and placed.
+// ready responds with the state, and with status 503 unless the entry accepts submissions and can
+// place tasks in every pool.
 func (e *Entry) ready(c echo.Context) error {
-	s := e.askState()
+	s := e.currentState()
 	if !s.Ready {
 		return c.JSON(http.StatusServiceUnavailable, s)
 	}
--- a/submissions/entry/control.go
+++ b/submissions/entry/control.go
@@ -14,19 +14,20 @@
 type eventKind uint8
 
 const (
-	evUp eventKind = iota
+	evLinkUp eventKind = iota
 	evMessage
-	evDown
+	evLinkDown
 	evSubmit
 	evLookup
-	evGone
+	evCallerGone
 	evBoxes
 	evStop
 	evState
 	evIDs
 )
 
-// event is what the other goroutines tell the control loop.
+// event is one input of the control loop, posted by another goroutine. Which fields are set depends
+// on the kind.
 type event struct {
 	kind    eventKind
 	peer    string
@@ -53,11 +54,11 @@
 
 func (e *Entry) handle(now time.Time, ev event) {
 	switch ev.kind {
-	case evUp:
+	case evLinkUp:
 		e.linkUp(now, ev)
 	case evMessage:
 		e.core.HandleMessage(now, ev.peer, ev.message)
-	case evDown:
+	case evLinkDown:
 		e.linkDown(now, ev)
 	case evSubmit:
 		e.callers[ev.caller] = ev.answer
@@ -65,10 +66,10 @@
 	case evLookup:
 		e.callers[ev.caller] = ev.answer
 		e.core.Lookup(now, ev.caller, ev.id)
-	case evGone:
+	case evCallerGone:
 		delete(e.callers, ev.caller)
 	case evBoxes:
-		e.takeBoxes(now, ev.boxes)
+		e.applyBoxes(now, ev.boxes)
 	case evStop:
 		e.core.Stop()
 	case evIDs:
@@ -105,7 +106,8 @@
 	e.log.Info("peer lost", zap.String("peer", ev.peer), zap.Error(ev.err))
 }
 
-// perform does what the core has decided.
+// perform carries out what the core has decided: it dials peers, sends messages and delivers
+// answers.
 func (e *Entry) perform(time.Time) {
 	out := e.core.Take()
 	for _, addr := range out.Dials {
@@ -113,7 +115,7 @@
 	}
 	for _, s := range out.Sends {
 		if l := e.links[s.Peer]; l != nil && l.conn != nil {
-			_ = l.conn.Send(s.Message) // when it cannot be sent, the connection is down and Down follows
+			_ = l.conn.Send(s.Message) // if sending fails, the connection is lost and Down is called
 		}
 	}
 	for _, d := range out.Deliveries {
--- a/submissions/entry/entry.go
+++ b/submissions/entry/entry.go
@@ -1,6 +1,8 @@
-// Package entry is the daemon that callers talk to. It takes submissions over
-// HTTP and drives the dispatch core with what its connections bring. One
-// goroutine owns the core; others read and write connections and callers.
+// Package entry implements the daemon that accepts submissions over HTTP. It feeds the dispatch
+// core with requests, peer messages and connection changes, and carries out what the core
+// decides. It owns the HTTP server and the connections to agents and other entries. One goroutine,
+// the control loop, owns the core; other goroutines serve HTTP requests and connections and post
+// events to the loop.
 package entry
 
 import (
@@ -29,30 +31,35 @@
 )
 
 const (
-	eventBacklog = 4096                 // events that may wait for the control loop
-	tickEvery    = 5 * time.Millisecond // between looks at the time; below the shortest limit, of 10 ms
-	flushTimeout = time.Second          // for messages that wait to be written at a stop
-	absentFor    = 30 * time.Second     // before an unlisted, unconnected agent is given up
+	// eventBacklog is how many events may wait for the control loop; further posts block.
+	eventBacklog = 4096
+	// tickInterval is how often the core checks its time limits. The shortest of them is 10 ms.
+	tickInterval = 5 * time.Millisecond
+	// flushTimeout bounds the writing of queued messages at a planned stop.
+	flushTimeout = time.Second
+	// forgetAgentAfter is how long an agent must be neither listed nor connected before it is
+	// removed.
+	forgetAgentAfter = 30 * time.Second
 )
 
 // Entry is a running entry.
 type Entry struct {
-	cfg         *config.Entry
-	log         *logging.Log
-	incarnation string
-	assignment  uint64
-	registry    *metrics.Registry
-	count       *metrics.Dispatch
-	peerOpts    peer.Options
-	listener    *peer.Listener
-	http        *web.Server
-	boxes       *boxlist.Client // nil when the settings name none
-	loop        *loop.Loop[event]
-	halt        context.Context // ends with Kill
-	kill        context.CancelFunc
-	stopping    atomic.Bool
-	lastCaller  atomic.Uint64
-	lastInbound atomic.Uint64
+	cfg           *config.Entry
+	log           *logging.Log
+	incarnation   string
+	assignment    uint64
+	registry      *metrics.Registry
+	count         *metrics.Dispatch
+	peerOpts      peer.Options
+	listener      *peer.Listener
+	http          *web.Server
+	boxes         *boxlist.Client // nil if no box list is configured
+	loop          *loop.Loop[event]
+	ctx           context.Context // cancelled by Kill
+	cancel        context.CancelFunc
+	stopping      atomic.Bool
+	lastCallerID  atomic.Uint64
+	lastInboundID atomic.Uint64
 
 	// Owned by the control loop.
 	core    *dispatch.Core
@@ -61,7 +68,7 @@
 	callers map[uint64]chan *job.Answer
 }
 
-// Start starts an entry. It listens before it returns.
+// Start starts an entry. Both listeners are open when it returns.
 func Start(cfg *config.Entry, log *logging.Log) (*Entry, error) {
 	registry := metrics.New("entry")
 	e := &Entry{
@@ -72,17 +79,17 @@
 		registry:    registry,
 		count:       metrics.NewDispatch(registry.Scope),
 		loop:        loop.New[event](eventBacklog),
-		view:        membership.New(cfg.Claims.Holders, absentFor),
+		view:        membership.New(cfg.Claims.Holders, forgetAgentAfter),
 		links:       make(map[string]*link),
 		callers:     make(map[uint64]chan *job.Answer),
 	}
-	e.halt, e.kill = context.WithCancel(context.Background())
+	e.ctx, e.cancel = context.WithCancel(context.Background())
 	if err := e.listen(); err != nil {
-		e.kill()
+		e.cancel()
 		registry.Close()
 		return nil, err
 	}
-	e.core = dispatch.New(e.coreSettings(), asserter{e.count, log}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	e.core = dispatch.New(e.coreSettings(), counter{e.count, log}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	for _, agent := range e.view.Known() {
 		e.dial(agent)
 	}
@@ -91,22 +98,22 @@
 		go e.pollBoxes()
 	}
 	e.listener.Serve(e.hello, inbound{e})
-	go e.loop.Run(e.halt.Done(), tickEvery, loop.Steps[event]{Handle: e.handle, Tick: e.tick, Perform: e.perform})
+	go e.loop.Run(e.ctx.Done(), tickInterval, loop.Steps[event]{Handle: e.handle, Tick: e.tick, Perform: e.perform})
 	log.Info("entry started",
 		zap.String("http", e.Addr()), zap.String("peers", e.PeerAddr()), zap.String("incarnation", e.incarnation))
 	return e, nil
 }
 
-// asserter counts what the core decides, and logs broken promises.
-type asserter struct {
+// counter is the core's dispatch.Counter. It updates the metrics and logs violated promises.
+type counter struct {
 	*metrics.Dispatch
 	log *logging.Log
 }
 
-// Violated is called by the core.
-func (a asserter) Violated(promise string) {
+// Violated counts and logs a promise that the core found violated.
+func (a counter) Violated(promise string) {
 	a.Dispatch.Violated(promise)
-	a.log.Error("a promise is broken", zap.String("promise", promise))
+	a.log.Error("promise violated", zap.String("promise", promise))
 }
 
 func (e *Entry) listen() error {
@@ -165,30 +172,30 @@
 		KeepBytes:   c.Bytes,
 		KeepFor:     c.KeepFor.D(),
 		MaxFetched:  e.cfg.Peers.MaxFrame / 2,
-		Policy:      policyOf(e.cfg.Placement),
+		Policy:      placementPolicy(e.cfg.Placement),
 	}
 }
 
-func policyOf(p config.Placement) placement.Policy {
+func placementPolicy(p config.Placement) placement.Policy {
 	return placement.Policy{
 		Choices:  p.Choices,
 		Outliers: placement.OutlierSettings{SlowFactor: p.Worse, MaxShare: p.WorseShare, TrickleShare: p.Trickle},
 	}
 }
 
-// Addr returns the address for callers.
+// Addr returns the address of the HTTP server.
 func (e *Entry) Addr() string { return e.http.Addr() }
 
-// PeerAddr returns the address for peers.
+// PeerAddr returns the address on which the entry accepts connections of peers.
 func (e *Entry) PeerAddr() string { return e.listener.Addr() }
 
-// Stop makes a planned stop: new submissions are refused, those in flight get
-// their answers. It returns when all are answered or ctx ends.
+// Stop performs a planned stop: the entry refuses new submissions and completes those in flight.
+// It returns when all are answered, or when ctx ends; then the rest is abandoned as by Kill.
 func (e *Entry) Stop(ctx context.Context) {
 	e.stopping.Store(true)
 	e.loop.Post(event{kind: evStop})
 	for ctx.Err() == nil && !e.idle() {
-		time.Sleep(tickEvery)
+		time.Sleep(tickInterval)
 	}
 	if err := e.http.Drain(ctx); err != nil {
 		e.log.Warn("stopped with requests in flight", zap.Error(err))
@@ -198,13 +205,13 @@
 }
 
 func (e *Entry) idle() bool {
-	s, ok := e.ask()
+	s, ok := e.requestState()
 	return !ok || s.Idle
 }
 
-// Kill ends the entry at once, as a crash would.
+// Kill stops the entry at once, as a crash would: submissions in flight are abandoned.
 func (e *Entry) Kill() {
-	e.kill()
+	e.cancel()
 	<-e.loop.Done()
 	e.http.Close()
 	e.listener.Close()
--- a/submissions/entry/golden_test.go
+++ b/submissions/entry/golden_test.go
@@ -14,7 +14,7 @@
 	"github.com/lichenfall/lichenfall/submissions/job"
 )
 
-// TestAnswersByFailure holds the HTTP answer to each kind of failure.
+// TestAnswersByFailure compares the HTTP response to each kind of failure with the golden file.
 func TestAnswersByFailure(t *testing.T) {
 	var out strings.Builder
 	for _, row := range failure.Table()[1:] {
--- a/submissions/entry/ids.go
+++ b/submissions/entry/ids.go
@@ -13,23 +13,23 @@
 	"github.com/lichenfall/lichenfall/submissions/job"
 )
 
-// IDs is the answer to a request for submission IDs.
+// IDs is the response to a request for new submission IDs.
 type IDs struct {
 	IDs []string `json:"ids"`
 }
 
 const (
-	maxIDs      = 1000 // of one question
-	drawsForOne = 64   // tries at an ID whose holder is there
+	maxIDsPerRequest = 1000
+	maxIDDraws       = 64 // random IDs drawn, at most, to find one whose holder is connected
 )
 
-// ids hands out new submission IDs whose holders are there now. A caller that
-// takes its IDs here shortly before it submits is not held up by an agent that
-// is down.
+// ids responds with new submission IDs that can be claimed now, because their holders are
+// connected. A caller that fetches its IDs shortly before it submits doesn't wait for a claim at an
+// agent that is down.
 func (e *Entry) ids(c echo.Context) error {
 	n, err := strconv.Atoi(c.QueryParam("count"))
-	if err != nil || n < 1 || n > maxIDs {
-		f := failure.InField(failure.BadRequest, "count", "not a number in range", fmt.Sprintf("1 to %d", maxIDs))
+	if err != nil || n < 1 || n > maxIDsPerRequest {
+		f := failure.InField(failure.BadRequest, "count", "not a number in range", fmt.Sprintf("1 to %d", maxIDsPerRequest))
 		return respond(c, job.Refusal("", f, failure.NotRun))
 	}
 	ids, ok := loop.Ask(e.loop, func(answer chan<- []string) event { return event{kind: evIDs, count: n, ids: answer} })
@@ -39,10 +39,12 @@
 	return c.JSON(http.StatusOK, IDs{ids})
 }
 
+// newIDs returns n new IDs. An ID for which maxIDDraws draws found no claimable one is returned all
+// the same.
 func (e *Entry) newIDs(n int) []string {
 	out := make([]string, n)
 	for i := range out {
-		for range drawsForOne {
+		for range maxIDDraws {
 			out[i] = uuid.Must(uuid.NewV7()).String()
 			if e.core.CanClaim(out[i]) {
 				break
--- a/submissions/entry/links.go
+++ b/submissions/entry/links.go
@@ -13,22 +13,24 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// link is a connection to a peer, kept or to be made.
+// link is a connection to a peer, whether established or still being dialled.
 type link struct {
-	conn *peer.Conn // nil while there is none
+	conn *peer.Conn // nil while not connected
 	stop context.CancelFunc
 }
 
-// dial keeps a connection to the address from now on.
+// dial starts to keep a connection to the address: it is made again after each loss, until drop is
+// called.
 func (e *Entry) dial(addr string) {
 	if e.links[addr] != nil {
 		return
 	}
-	ctx, stop := context.WithCancel(e.halt)
+	ctx, stop := context.WithCancel(e.ctx)
 	e.links[addr] = &link{stop: stop}
 	go peer.Keep(ctx, addr, e.peerOpts, e.hello, outbound{e, addr})
 }
 
+// drop closes the connection to the address and stops redialling it.
 func (e *Entry) drop(addr string) {
 	if l := e.links[addr]; l != nil {
 		l.stop()
@@ -36,15 +38,15 @@
 	}
 }
 
-// outbound handles the connection that we keep to an address.
+// outbound handles the connection that this entry keeps to an address.
 type outbound struct {
 	e    *Entry
 	addr string
 }
 
-// Up is called when the connection is made.
+// Up is called when the connection is established.
 func (o outbound) Up(c *peer.Conn, h *wire.Hello) {
-	o.e.loop.Post(event{kind: evUp, peer: o.addr, conn: c, hello: h})
+	o.e.loop.Post(event{kind: evLinkUp, peer: o.addr, conn: c, hello: h})
 }
 
 // Message is called for each message of the peer.
@@ -54,22 +56,22 @@
 
 // Down is called when the connection is lost.
 func (o outbound) Down(_ *peer.Conn, err error) {
-	o.e.loop.Post(event{kind: evDown, peer: o.addr, err: err})
+	o.e.loop.Post(event{kind: evLinkDown, peer: o.addr, err: err})
 }
 
-// inboundPrefix begins the names of connections that were made to us; all other
-// names are addresses.
+// inboundPrefix begins the names of connections that peers opened to this entry. The name of every
+// other connection is its address.
 const inboundPrefix = "in-"
 
-// inbound handles the connections that other entries make to us.
+// inbound handles the connections that other entries open to this one.
 type inbound struct {
 	e *Entry
 }
 
 // Up is called when another entry has connected.
 func (i inbound) Up(c *peer.Conn, h *wire.Hello) {
-	c.Name = fmt.Sprintf("%s%d", inboundPrefix, i.e.lastInbound.Add(1))
-	i.e.loop.Post(event{kind: evUp, peer: c.Name, conn: c, hello: h})
+	c.Name = fmt.Sprintf("%s%d", inboundPrefix, i.e.lastInboundID.Add(1))
+	i.e.loop.Post(event{kind: evLinkUp, peer: c.Name, conn: c, hello: h})
 }
 
 // Message is called for each message of the peer.
@@ -79,40 +81,42 @@
 
 // Down is called when the connection is lost.
 func (i inbound) Down(c *peer.Conn, err error) {
-	i.e.loop.Post(event{kind: evDown, peer: c.Name, err: err})
+	i.e.loop.Post(event{kind: evLinkDown, peer: c.Name, err: err})
 }
 
-// pollBoxes reads the platform's box list again and again. What cannot be read
-// changes nothing.
+// pollBoxes polls the platform's box list until the entry ends. After a failed read the last list
+// stays in force.
 func (e *Entry) pollBoxes() {
 	var version uint64
-	for e.halt.Err() == nil {
-		list, changed, err := e.boxes.Boxes(e.halt, version)
+	for e.ctx.Err() == nil {
+		list, changed, err := e.boxes.Boxes(e.ctx, version)
 		if err != nil {
-			e.log.Debug("box list not read", zap.Error(err))
+			e.log.Debug("cannot read the box list", zap.Error(err))
 		}
 		if err == nil && changed {
 			version = list.Version
 			e.loop.Post(event{kind: evBoxes, boxes: list})
 		}
-		e.pause(e.cfg.BoxList.Poll.D())
+		e.sleepWithJitter(e.cfg.BoxList.Poll.D())
 	}
 }
 
-// pause waits for half to one and a half times d.
-func (e *Entry) pause(d time.Duration) {
+// sleepWithJitter waits for half to one and a half times d, or until the entry ends.
+func (e *Entry) sleepWithJitter(d time.Duration) {
 	t := time.NewTimer(d/2 + rand.N(d))
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-e.halt.Done():
+	case <-e.ctx.Done():
 	}
 }
 
-func (e *Entry) takeBoxes(now time.Time, list membership.BoxList) {
+// applyBoxes updates the view of the agents from a new box list. The view rejects a list that is
+// empty or older than the last one.
+func (e *Entry) applyBoxes(now time.Time, list membership.BoxList) {
 	change, ok := e.view.Apply(now, list)
 	if !ok {
-		e.log.Warn("box list passed over", zap.Uint64("version", list.Version), zap.Int("boxes", len(list.Boxes)))
+		e.log.Warn("box list rejected", zap.Uint64("version", list.Version), zap.Int("boxes", len(list.Boxes)))
 		return
 	}
 	for _, addr := range change.Dial {
--- a/submissions/entry/state.go
+++ b/submissions/entry/state.go
@@ -8,21 +8,21 @@
 	"github.com/lichenfall/lichenfall/submissions/placement"
 )
 
-// State is what an entry says of itself to operators.
+// State is an entry's state as reported to operators by /v1/state.
 type State struct {
 	Box         string       `json:"box"`
 	DataCentre  string       `json:"data_centre"`
 	Incarnation string       `json:"incarnation"`
-	Ready       bool         `json:"ready"` // takes work and can place it in every pool
+	Ready       bool         `json:"ready"` // accepts submissions and can place tasks in every pool
 	Stopping    bool         `json:"stopping"`
-	Idle        bool         `json:"idle"` // nobody waits for an answer
+	Idle        bool         `json:"idle"` // no submission is in flight and no caller waits
 	Jobs        int          `json:"jobs"`
 	Tasks       int          `json:"tasks"`
-	BoxList     uint64       `json:"box_list"` // version last taken
+	BoxList     uint64       `json:"box_list"` // version last applied
 	Agents      []AgentState `json:"agents"`
 }
 
-// AgentState is what an entry knows of an agent.
+// AgentState is the state of an agent as known to an entry.
 type AgentState struct {
 	Address     string `json:"address"`
 	Pool        string `json:"pool"`
@@ -30,15 +30,17 @@
 	Connected   bool   `json:"connected"`
 	Leaving     bool   `json:"leaving"`
 	Slots       int    `json:"slots"`
-	Outstanding int    `json:"outstanding"` // tasks of this entry that it holds
+	Outstanding int    `json:"outstanding"` // tasks of this entry that the agent holds
 }
 
-func (e *Entry) ask() (s State, ok bool) {
+// requestState reads the state in the control loop; ok is false if the loop has ended.
+func (e *Entry) requestState() (s State, ok bool) {
 	return loop.Ask(e.loop, func(answer chan<- State) event { return event{kind: evState, state: answer} })
 }
 
-func (e *Entry) askState() State {
-	s, ok := e.ask()
+// currentState returns the entry's state; an entry that has ended is reported as stopping.
+func (e *Entry) currentState() State {
+	s, ok := e.requestState()
 	s.Stopping = s.Stopping || !ok
 	return s
 }
@@ -78,7 +80,7 @@
 	}
 }
 
-// canPlace returns whether every pool has an agent that takes work.
+// canPlace reports whether every pool has a connected agent that isn't leaving.
 func (e *Entry) canPlace() bool {
 	for _, pool := range e.cfg.Jobs.Pools {
 		usable := false
@@ -92,12 +94,13 @@
 	return true
 }
 
+// inbound reports whether the event's connection was opened by the peer.
 func (ev event) inbound() bool { return strings.HasPrefix(ev.peer, inboundPrefix) }
 
-// Connected returns the number of agents connected now.
+// Connected returns the number of agents that are connected.
 func (e *Entry) Connected() int {
 	n := 0
-	for _, a := range e.askState().Agents {
+	for _, a := range e.currentState().Agents {
 		if a.Connected {
 			n++
 		}
