--- a/submissions/agent/admin.go
+++ b/submissions/agent/admin.go
@@ -11,7 +11,7 @@
 	"github.com/lichenfall/lichenfall/submissions/backend"
 )
 
-// State is what an agent says of itself to operators.
+// State is an agent's state as reported to operators by /v1/state.
 type State struct {
 	Box         string    `json:"box"`
 	DataCentre  string    `json:"data_centre"`
@@ -22,12 +22,13 @@
 	Running     int       `json:"running"`
 	Leaving     bool      `json:"leaving"`
 	Links       int       `json:"links"`        // connected entries
-	Claims      int       `json:"claims"`       // remembered
-	ClaimsSince time.Time `json:"claims_since"` // IDs made before are unknown
+	Claims      int       `json:"claims"`       // claims held
+	ClaimsSince time.Time `json:"claims_since"` // IDs made before this time cannot be claimed here
 
-	Usage backend.Usage `json:"usage"` // of the backend server, with its lag
+	Usage backend.Usage `json:"usage"` // last report of the backend server; it lags behind
 }
 
+// adminServer is the HTTP server for operators.
 type adminServer struct {
 	srv *web.Server
 }
@@ -35,9 +36,9 @@
 func startAdmin(a *Agent) (*adminServer, error) {
 	e := web.NewEcho()
 	web.Operate(e, a.registry.Handler, a.log.Level)
-	e.GET("/v1/state", func(c echo.Context) error { return c.JSON(http.StatusOK, a.askState()) })
+	e.GET("/v1/state", func(c echo.Context) error { return c.JSON(http.StatusOK, a.currentState()) })
 	e.GET("/ready", func(c echo.Context) error {
-		if s := a.askState(); s.Leaving {
+		if s := a.currentState(); s.Leaving {
 			return c.String(http.StatusServiceUnavailable, "leaving\n")
 		}
 		return c.String(http.StatusOK, "ready\n")
@@ -57,7 +58,8 @@
 
 func (s *adminServer) close() { s.srv.Close() }
 
-func (a *Agent) askState() State {
+// currentState reads the state in the control loop; an agent that has ended is reported as leaving.
+func (a *Agent) currentState() State {
 	s, ok := loop.Ask(a.loop, func(answer chan<- State) event { return event{kind: evState, state: answer} })
 	if !ok {
 		return State{Leaving: true}
@@ -84,5 +86,5 @@
 	}
 }
 
-// ClaimsSince returns the time from which IDs can be claimed at this agent.
-func (a *Agent) ClaimsSince() time.Time { return a.askState().ClaimsSince }
+// ClaimsSince returns the creation time from which on IDs can be claimed at this agent.
+func (a *Agent) ClaimsSince() time.Time { return a.currentState().ClaimsSince }
--- a/submissions/agent/agent.go
+++ b/submissions/agent/agent.go
@@ -1,6 +1,8 @@
-// Package agent is the daemon beside each backend server: it queues tasks for
-// it, runs them, and holds claims. One goroutine owns the queue and the claim
-// table; others read and write connections and wait for the backend server.
+// Package agent implements the daemon that runs beside each backend server. It queues the tasks
+// that entries place, has the backend server run them, returns their results, and grants claims of
+// submission IDs. It owns the connections to entries and the HTTP client of its backend server. One
+// goroutine, the control loop, owns the queue and the claim table; other goroutines serve
+// connections and wait for the backend server, and post events to the loop.
 package agent
 
 import (
@@ -22,8 +24,12 @@
 )
 
 const (
-	eventBacklog = 512                  // events that may wait for the control loop
-	tickEvery    = 5 * time.Millisecond // between looks at the time; half of backend.hold
+	// eventBacklog is how many events may wait for the control loop; further posts block.
+	eventBacklog = 512
+	// tickInterval is how often the queue checks its time limits. It is half of the default of
+	// backend.hold.
+	tickInterval = 5 * time.Millisecond
+	// flushTimeout bounds the writing of queued messages to each entry at a planned stop.
 	flushTimeout = time.Second
 )
 
@@ -39,22 +45,22 @@
 	listener    *peer.Listener
 	admin       *adminServer
 	loop        *loop.Loop[event]
-	halt        context.Context // ends with Kill
-	kill        context.CancelFunc
-	stopped     chan struct{} // closed when the last task of a planned stop has ended
+	ctx         context.Context // cancelled by Kill
+	cancel      context.CancelFunc
+	stopped     chan struct{} // closed when a planned stop is complete; see finishStop
 
 	// Owned by the control loop.
-	queue  *queue.Queue
-	claims claim.Holder
-	links  map[queue.Link]*peer.Conn
-	told   map[queue.Link]bool // entries that know we leave, and will place no more
-	byConn map[*peer.Conn]queue.Link
-	last   queue.Link
-	usage  backend.Usage
-	stop   bool
+	queue      *queue.Queue
+	claims     claim.Holder
+	links      map[queue.Link]*peer.Conn
+	leaveAcked map[queue.Link]bool // links whose entry has acknowledged that this agent leaves, and places no more tasks
+	byConn     map[*peer.Conn]queue.Link
+	lastLink   queue.Link
+	usage      backend.Usage
+	stopping   bool
 }
 
-// Start starts an agent. It listens before it returns.
+// Start starts an agent. Both listeners are open when it returns.
 func Start(cfg *config.Agent, log *logging.Log) (*Agent, error) {
 	registry := metrics.New("agent")
 	count := metrics.NewAgent(registry.Scope)
@@ -70,20 +76,21 @@
 		stopped:     make(chan struct{}),
 		queue:       queue.New(queueLimits(cfg), asserter{count, log}),
 		links:       make(map[queue.Link]*peer.Conn),
-		told:        make(map[queue.Link]bool),
+		leaveAcked:  make(map[queue.Link]bool),
 		byConn:      make(map[*peer.Conn]queue.Link),
 	}
-	a.halt, a.kill = context.WithCancel(context.Background())
+	a.ctx, a.cancel = context.WithCancel(context.Background())
 	if err := a.listen(); err != nil {
-		a.kill()
+		a.cancel()
 		registry.Close()
 		return nil, err
 	}
-	// Only now, when we hold the address, is a predecessor there surely dead. Had
-	// the table begun earlier, it might have granted IDs beyond its fence since.
+	// The table is created only after the agent listens, because only then has an earlier agent at
+	// this address surely ended. A table created before that would miss IDs that the earlier agent
+	// granted in the meantime, and its time fence wouldn't exclude them.
 	a.claims = claim.Holder{Table: claim.New(time.Now(), claimLimits(cfg)), Assignment: a.assignment}
 	a.listener.Serve(a.hello, a)
-	go a.loop.Run(a.halt.Done(), tickEvery, loop.Steps[event]{Handle: a.handle, Tick: a.tick, Perform: a.perform})
+	go a.loop.Run(a.ctx.Done(), tickInterval, loop.Steps[event]{Handle: a.handle, Tick: a.tick, Perform: a.perform})
 	go a.pollUsage()
 	log.Info("agent started",
 		zap.String("peers", a.Addr()), zap.String("admin", a.AdminAddr()),
@@ -91,16 +98,16 @@
 	return a, nil
 }
 
-// asserter counts and logs broken promises.
+// asserter is the queue's queue.Asserter. It counts and logs violated promises.
 type asserter struct {
 	count *metrics.Agent
 	log   *logging.Log
 }
 
-// Violated is called by the queue.
+// Violated counts and logs a promise that the queue found violated.
 func (a asserter) Violated(promise string) {
 	a.count.Violated(promise)
-	a.log.Error("a promise is broken", zap.String("promise", promise))
+	a.log.Error("promise violated", zap.String("promise", promise))
 }
 
 func (a *Agent) listen() error {
@@ -151,15 +158,15 @@
 	}
 }
 
-// Addr returns the address for peers.
+// Addr returns the address on which the agent accepts connections of entries.
 func (a *Agent) Addr() string { return a.listener.Addr() }
 
-// AdminAddr returns the address for operators.
+// AdminAddr returns the address of the HTTP server for operators.
 func (a *Agent) AdminAddr() string { return a.admin.addr() }
 
-// Stop makes a planned stop: new work is refused, queued tasks are handed back
-// as not run, started ones end. It returns when all have ended and their
-// results are sent, or when ctx ends.
+// Stop performs a planned stop: the agent refuses new tasks, returns queued ones as not run, and
+// lets started ones finish. It returns when all have finished and their results are sent, or when
+// ctx ends; then the rest is abandoned as by Kill.
 func (a *Agent) Stop(ctx context.Context) {
 	a.loop.Post(event{kind: evStop})
 	select {
@@ -170,9 +177,9 @@
 	a.Kill()
 }
 
-// Kill ends the agent at once, as a crash would.
+// Kill stops the agent at once, as a crash would: running tasks are abandoned.
 func (a *Agent) Kill() {
-	a.kill()
+	a.cancel()
 	<-a.loop.Done()
 	a.listener.Close()
 	a.admin.close()
--- a/submissions/agent/control.go
+++ b/submissions/agent/control.go
@@ -17,9 +17,9 @@
 type eventKind uint8
 
 const (
-	evUp eventKind = iota
+	evLinkUp eventKind = iota
 	evMessage
-	evDown
+	evLinkDown
 	evFinished
 	evStop
 	evState
@@ -27,7 +27,8 @@
 	evLeave
 )
 
-// event is what the other goroutines tell the control loop.
+// event is one input of the control loop, posted by another goroutine. Which fields are set depends
+// on the kind.
 type event struct {
 	kind    eventKind
 	conn    *peer.Conn
@@ -40,7 +41,9 @@
 }
 
 // Up is called when an entry has connected.
-func (a *Agent) Up(c *peer.Conn, h *wire.Hello) { a.loop.Post(event{kind: evUp, conn: c, hello: h}) }
+func (a *Agent) Up(c *peer.Conn, h *wire.Hello) {
+	a.loop.Post(event{kind: evLinkUp, conn: c, hello: h})
+}
 
 // Message is called for each message of an entry.
 func (a *Agent) Message(c *peer.Conn, m wire.Message) {
@@ -48,30 +51,30 @@
 }
 
 // Down is called when a connection is lost.
-func (a *Agent) Down(c *peer.Conn, err error) { a.loop.Post(event{kind: evDown, conn: c}) }
+func (a *Agent) Down(c *peer.Conn, err error) { a.loop.Post(event{kind: evLinkDown, conn: c}) }
 
 func (a *Agent) tick(now time.Time) {
 	a.queue.Expire(now)
-	a.observe()
+	a.updateGauges()
 }
 
 func (a *Agent) handle(now time.Time, e event) {
 	switch e.kind {
-	case evUp:
+	case evLinkUp:
 		a.linkUp(e)
 	case evMessage:
-		a.message(now, e.conn, e.message)
-	case evDown:
+		a.handleMessage(now, e.conn, e.message)
+	case evLinkDown:
 		a.linkDown(e.conn)
 	case evFinished:
-		a.finished(now, e)
+		a.taskFinished(now, e)
 	case evStop:
-		a.stop = true
+		a.stopping = true
 		a.queue.Leave()
-		a.announce()
+		a.sendLoads()
 	case evLeave:
 		a.queue.Leave()
-		a.announce()
+		a.sendLoads()
 	case evUsage:
 		a.usage = e.usage
 		a.count.Usage(e.usage.Cores, e.usage.MemoryBytes)
@@ -81,12 +84,12 @@
 }
 
 func (a *Agent) linkUp(e event) {
-	a.last++
-	a.links[a.last] = e.conn
-	a.byConn[e.conn] = a.last
+	a.lastLink++
+	a.links[a.lastLink] = e.conn
+	a.byConn[e.conn] = a.lastLink
 	a.log.Info("entry connected", zap.String("box", e.hello.Box), zap.String("incarnation", e.hello.Incarnation))
 	if a.queue.Leaving() {
-		a.sendLoad(a.last)
+		a.sendLoad(a.lastLink)
 	}
 }
 
@@ -97,11 +100,11 @@
 	}
 	delete(a.byConn, c)
 	delete(a.links, link)
-	delete(a.told, link)
+	delete(a.leaveAcked, link)
 	a.queue.LinkDown(link)
 }
 
-func (a *Agent) message(now time.Time, c *peer.Conn, m wire.Message) {
+func (a *Agent) handleMessage(now time.Time, c *peer.Conn, m wire.Message) {
 	link, ok := a.byConn[c]
 	if !ok {
 		return
@@ -114,52 +117,55 @@
 	case *wire.Cancel:
 		a.queue.Cancel(now, link, m)
 	case *wire.LeaveAck:
-		a.told[link] = true
+		a.leaveAcked[link] = true
 	case *wire.Ping:
 		a.sendLoad(link)
 	case *wire.Claim:
-		a.claim(now, c, m)
+		a.handleClaim(now, c, m)
 	default:
 		a.log.Warn("message not for an agent", zap.Stringer("kind", m.WireKind()))
 	}
 }
 
-func (a *Agent) claim(now time.Time, c *peer.Conn, m *wire.Claim) {
+func (a *Agent) handleClaim(now time.Time, c *peer.Conn, m *wire.Claim) {
 	owner := claim.Owner{Address: c.Peer().Address, Incarnation: c.Peer().Incarnation}
 	r := a.claims.Serve(now, owner, m)
 	a.count.Verdict(claim.Verdict(r.Verdict))
-	// When it cannot be sent, the connection is down, and the entry asks again.
+	// If sending fails, the connection is lost, and the entry repeats its claim.
 	_ = c.Send(r)
 }
 
-func (a *Agent) finished(now time.Time, e event) {
+func (a *Agent) taskFinished(now time.Time, e event) {
 	a.count.Ran(now.Sub(e.task.StartedAt))
 	a.queue.Finished(now, e.task, e.outcome)
 }
 
-// perform does what the queue has decided.
+// perform carries out what the queue has decided: it starts tasks and sends reports. It also
+// completes a planned stop.
 func (a *Agent) perform(now time.Time) {
 	out := a.queue.Take(now)
 	for _, t := range out.Start {
 		a.count.Started()
 		go a.run(t)
 	}
-	a.report(out.Reports)
-	if a.stop && a.queue.Idle() && len(a.told) == len(a.links) {
+	a.sendReports(out.Reports)
+	if a.stopping && a.queue.Idle() && len(a.leaveAcked) == len(a.links) {
 		a.finishStop()
 	}
 }
 
-// run hands one task to the backend server. A planned stop does not cut it off.
+// run sends one task to the backend server and waits for its end. Only Kill interrupts it; a
+// planned stop doesn't.
 func (a *Agent) run(t *queue.Task) {
-	o := a.backend.Run(a.halt, t)
+	o := a.backend.Run(a.ctx, t)
 	a.loop.Post(event{kind: evFinished, task: t, outcome: o})
 }
 
-// finishStop ends a planned stop once nothing is left and every entry has said
-// that it knows: whatever it placed before has then been answered.
+// finishStop completes a planned stop: it flushes the connections and then closes stopped. It is
+// called when the queue is idle and every connected entry has acknowledged that the agent leaves.
+// All tasks that an entry placed before its acknowledgement have been answered by then.
 func (a *Agent) finishStop() {
-	a.stop = false
+	a.stopping = false
 	conns := make([]*peer.Conn, 0, len(a.links))
 	for _, c := range a.links {
 		conns = append(conns, c)
@@ -172,7 +178,8 @@
 	}()
 }
 
-func (a *Agent) observe() {
+// updateGauges sets the metrics of the queue's load and of the claims held.
+func (a *Agent) updateGauges() {
 	load := a.queue.Load(0)
 	a.count.Load(int(load.Queued), int(load.Running))
 	a.count.Claims(a.claims.Len())
@@ -180,12 +187,12 @@
 
 // The bounds of one Results message.
 const (
-	maxItems     = 1024    // results
-	maxItemBytes = 1 << 20 // of them; a quarter of the default frame
+	maxResults     = 1024
+	maxResultBytes = 1 << 20 // bytes of the results' bodies; a quarter of the default frame limit
 )
 
-// report sends results, those of one link together.
-func (a *Agent) report(reports []queue.Report) {
+// sendReports sends the results, grouped by link into messages of bounded size.
+func (a *Agent) sendReports(reports []queue.Report) {
 	open := make(map[queue.Link]*batch)
 	for i := range reports {
 		r := &reports[i]
@@ -205,15 +212,17 @@
 	}
 }
 
-// batch collects results into one message.
+// batch collects the results for one message.
 type batch struct {
 	load  wire.Load
 	items []wire.Result
 	bytes int
 }
 
+// full reports whether r would exceed the bounds of a message. A message may hold a single result
+// of any size.
 func (b *batch) full(r *wire.Result) bool {
-	return len(b.items) >= maxItems || len(b.items) > 0 && b.bytes+len(r.Body) > maxItemBytes
+	return len(b.items) >= maxResults || len(b.items) > 0 && b.bytes+len(r.Body) > maxResultBytes
 }
 
 func (b *batch) add(r wire.Result) {
@@ -221,6 +230,7 @@
 	b.bytes += len(r.Body)
 }
 
+// take returns a message with the collected results and empties the batch.
 func (b *batch) take() *wire.Results {
 	m := &wire.Results{Load: b.load, Items: b.items}
 	b.items = nil
@@ -230,37 +240,39 @@
 
 func (a *Agent) send(link queue.Link, m wire.Message) {
 	if c := a.links[link]; c != nil {
-		// When it cannot be sent, the connection is down, and down follows.
+		// If sending fails, the connection is lost, and Down is called.
 		_ = c.Send(m)
 	}
 }
 
-// announce tells all entries that the backend server leaves.
-func (a *Agent) announce() {
+// sendLoads sends the load to all entries. With it they learn that the agent is leaving.
+func (a *Agent) sendLoads() {
 	for link := range a.links {
 		a.sendLoad(link)
 	}
 }
 
+// sendLoad sends a Results message without results, which carries the load alone.
 func (a *Agent) sendLoad(link queue.Link) {
 	a.send(link, &wire.Results{Load: a.queue.Load(link)})
 }
 
-// pollUsage reads the backend server's usage reports, which stay on this box.
+// pollUsage polls the backend server's usage reports until the agent ends. They are used for this
+// agent's metrics and state alone, and sent to no peer.
 func (a *Agent) pollUsage() {
 	tick := time.NewTicker(a.cfg.Backend.UsagePoll.D())
 	defer tick.Stop()
 	for {
 		select {
-		case <-a.halt.Done():
+		case <-a.ctx.Done():
 			return
 		case <-tick.C:
 		}
-		ctx, cancel := context.WithTimeout(a.halt, a.cfg.Backend.UsagePoll.D())
+		ctx, cancel := context.WithTimeout(a.ctx, a.cfg.Backend.UsagePoll.D())
 		u, err := a.backend.Usage(ctx)
 		cancel()
 		if err != nil {
-			a.log.Debug("usage not read", zap.Error(err))
+			a.log.Debug("cannot read the backend server's usage", zap.Error(err))
 			continue
 		}
 		a.loop.Post(event{kind: evUsage, usage: u})
