--- a/submissions/agent/control.go
+++ b/submissions/agent/control.go
@@ -17,9 +17,9 @@
 type eventKind uint8
 
 const (
-	evLinkUp eventKind = iota
+	evUp eventKind = iota
 	evMessage
-	evLinkDown
+	evDown
 	evFinished
 	evStop
 	evState
@@ -41,9 +41,7 @@
 }
 
 // Up is called when an entry has connected.
-func (a *Agent) Up(c *peer.Conn, h *wire.Hello) {
-	a.loop.Post(event{kind: evLinkUp, conn: c, hello: h})
-}
+func (a *Agent) Up(c *peer.Conn, h *wire.Hello) { a.loop.Post(event{kind: evUp, conn: c, hello: h}) }
 
 // Message is called for each message of an entry.
 func (a *Agent) Message(c *peer.Conn, m wire.Message) {
@@ -51,7 +49,7 @@
 }
 
 // Down is called when a connection is lost.
-func (a *Agent) Down(c *peer.Conn, err error) { a.loop.Post(event{kind: evLinkDown, conn: c}) }
+func (a *Agent) Down(c *peer.Conn, err error) { a.loop.Post(event{kind: evDown, conn: c}) }
 
 func (a *Agent) tick(now time.Time) {
 	a.queue.Expire(now)
@@ -60,11 +58,11 @@
 
 func (a *Agent) handle(now time.Time, e event) {
 	switch e.kind {
-	case evLinkUp:
+	case evUp:
 		a.linkUp(e)
 	case evMessage:
 		a.handleMessage(now, e.conn, e.message)
-	case evLinkDown:
+	case evDown:
 		a.linkDown(e.conn)
 	case evFinished:
 		a.taskFinished(now, e)
--- a/submissions/entry/control.go
+++ b/submissions/entry/control.go
@@ -14,9 +14,9 @@
 type eventKind uint8
 
 const (
-	evLinkUp eventKind = iota
+	evUp eventKind = iota
 	evMessage
-	evLinkDown
+	evDown
 	evSubmit
 	evLookup
 	evCallerGone
@@ -54,11 +54,11 @@
 
 func (e *Entry) handle(now time.Time, ev event) {
 	switch ev.kind {
-	case evLinkUp:
+	case evUp:
 		e.linkUp(now, ev)
 	case evMessage:
 		e.core.HandleMessage(now, ev.peer, ev.message)
-	case evLinkDown:
+	case evDown:
 		e.linkDown(now, ev)
 	case evSubmit:
 		e.callers[ev.caller] = ev.answer
--- a/submissions/entry/links.go
+++ b/submissions/entry/links.go
@@ -46,7 +46,7 @@
 
 // Up is called when the connection is established.
 func (o outbound) Up(c *peer.Conn, h *wire.Hello) {
-	o.e.loop.Post(event{kind: evLinkUp, peer: o.addr, conn: c, hello: h})
+	o.e.loop.Post(event{kind: evUp, peer: o.addr, conn: c, hello: h})
 }
 
 // Message is called for each message of the peer.
@@ -56,7 +56,7 @@
 
 // Down is called when the connection is lost.
 func (o outbound) Down(_ *peer.Conn, err error) {
-	o.e.loop.Post(event{kind: evLinkDown, peer: o.addr, err: err})
+	o.e.loop.Post(event{kind: evDown, peer: o.addr, err: err})
 }
 
 // inboundPrefix begins the names of connections that peers opened to this entry. The name of every
@@ -71,7 +71,7 @@
 // Up is called when another entry has connected.
 func (i inbound) Up(c *peer.Conn, h *wire.Hello) {
 	c.Name = fmt.Sprintf("%s%d", inboundPrefix, i.e.lastInboundID.Add(1))
-	i.e.loop.Post(event{kind: evLinkUp, peer: c.Name, conn: c, hello: h})
+	i.e.loop.Post(event{kind: evUp, peer: c.Name, conn: c, hello: h})
 }
 
 // Message is called for each message of the peer.
@@ -81,7 +81,7 @@
 
 // Down is called when the connection is lost.
 func (i inbound) Down(c *peer.Conn, err error) {
-	i.e.loop.Post(event{kind: evLinkDown, peer: c.Name, err: err})
+	i.e.loop.Post(event{kind: evDown, peer: c.Name, err: err})
 }
 
 // pollBoxes polls the platform's box list until the entry ends. After a failed read the last list
