--- a/submissions/backend/client.go
+++ b/submissions/backend/client.go
@@ -1,6 +1,6 @@
-// Package backend hands tasks to the backend server beside an agent over HTTP.
-// Every task is sent at most once: nothing in this package, nor in the HTTP
-// library below it, sends a task's bytes a second time.
+// Package backend is the HTTP client with which an agent runs tasks on its backend server and reads
+// the server's usage reports. It owns the connections to that server. Every task is sent at most
+// once: neither this package nor the HTTP library below it sends a task's bytes a second time.
 package backend
 
 import (
@@ -23,43 +23,41 @@
 	"github.com/lichenfall/lichenfall/submissions/queue"
 )
 
-// The headers of a task's request. None of them makes Go's HTTP client take
-// the request for one that it may repeat.
+// The headers of a task's request. None of them is an idempotency key, which would let Go's HTTP
+// client repeat the request by itself.
 const (
 	HeaderSubmission    = "Lichenfall-Submission"
 	HeaderTask          = "Lichenfall-Task"
 	HeaderWorkspace     = "Lichenfall-Team"
 	HeaderNotRepeatable = "Lichenfall-Not-Repeatable"
-	// HeaderLease is the lease under which the backend server runs the task:
-	// the milliseconds after which it must stop it. It ends with the task's
-	// deadline; closing the connection ends it sooner.
+	// HeaderLease is the length in milliseconds of the lease under which the backend server runs
+	// the task. The server must stop the task when the lease ends: at the task's deadline, or
+	// earlier if the connection is closed.
 	HeaderLease = "Lichenfall-Lease-Ms"
 )
 
-// Path is where a backend server takes tasks: a POST with the payload as its
-// body. Status 200 and a JSON body is the task's answer; any other status is a
-// failure of a task that ran.
+// Path is the path of the request that runs a task: a POST with the payload as its body. Status 200
+// with a JSON body is the task's result. Any other status means that the task ran and failed.
 const Path = "/v1/run"
 
-// maxErrorText bounds what of a backend server's error is passed on, in bytes. A sentence or
-// two.
+// maxErrorText is how many bytes of a backend server's error reach the caller: a sentence or two.
 const maxErrorText = 200
 
-// Settings are the bounds of a client.
+// Settings configures a client.
 type Settings struct {
-	URL         string
-	Connections int
-	MaxAnswer   int64
-	DialTimeout time.Duration
+	URL         string        // of the backend server, without a path
+	Connections int           // limit of connections to the server
+	MaxAnswer   int64         // limit of a result, in bytes
+	DialTimeout time.Duration // limit of establishing a connection
 }
 
 // Client sends tasks to one backend server.
 type Client struct {
-	set  Settings
+	cfg  Settings
 	http *http.Client
 }
 
-// New returns a client; it connects when there is something to send.
+// New returns a client. It connects when the first request is sent.
 func New(s Settings) *Client {
 	d := &net.Dialer{Timeout: s.DialTimeout}
 	t := &http.Transport{
@@ -75,17 +73,18 @@
 		MaxIdleConnsPerHost: s.Connections,
 		DisableCompression:  true,
 	}
-	return &Client{set: s, http: &http.Client{Transport: t, CheckRedirect: noRedirect}}
+	return &Client{cfg: s, http: &http.Client{Transport: t, CheckRedirect: noRedirect}}
 }
 
-// noRedirect keeps a redirect from sending the task anywhere else.
+// noRedirect makes the client return a redirect as the response instead of sending the task to
+// another URL.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Run sends the task and waits for its end or its deadline. The outcome says
-// "not run" only when no byte of the task was written to a connection.
+// Run sends the task and waits for its result or its deadline. The outcome is "not run" only if no
+// byte of the request was written to a connection.
 func (c *Client) Run(ctx context.Context, t *queue.Task) queue.Outcome {
 	ctx, cancel := context.WithDeadline(ctx, t.Deadline)
 	defer cancel()
@@ -99,25 +98,25 @@
 		return sent.outcome(err)
 	}
 	defer resp.Body.Close()
-	o := c.read(resp)
+	o := c.readOutcome(resp)
 	if o.Kind != failure.None && !time.Now().Before(t.Deadline) {
-		o.Kind = failure.DeadlineWhileRunning // what went wrong is that its lease lapsed
+		o.Kind = failure.DeadlineWhileRunning // the failure follows from the end of the lease
 	}
 	return o
 }
 
 func (c *Client) request(ctx context.Context, t *queue.Task) (*http.Request, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.set.URL+Path, bytes.NewReader(t.Payload))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.cfg.URL+Path, bytes.NewReader(t.Payload))
 	if err != nil {
 		return nil, errs.Wrap(err)
 	}
-	// Without GetBody the library cannot send the body a second time.
+	// Without GetBody the HTTP library cannot send the body a second time.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(HeaderSubmission, t.Submission)
 	req.Header.Set(HeaderTask, strconv.FormatUint(uint64(t.Index), 10))
 	req.Header.Set(HeaderWorkspace, t.Workspace)
-	// Rounded up, so that the lease never lapses before the deadline.
+	// Rounded up, so that the lease never ends before the deadline.
 	lease := max(0, time.Until(t.Deadline)) + time.Millisecond
 	req.Header.Set(HeaderLease, strconv.FormatInt(lease.Milliseconds(), 10))
 	if t.NotRepeatable {
@@ -126,15 +125,16 @@
 	return req, nil
 }
 
-func (c *Client) read(resp *http.Response) queue.Outcome {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, c.set.MaxAnswer+1))
+// readOutcome turns the response to a task's request into its outcome.
+func (c *Client) readOutcome(resp *http.Response) queue.Outcome {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, c.cfg.MaxAnswer+1))
 	switch {
 	case err != nil && errors.Is(err, context.DeadlineExceeded):
 		return queue.Outcome{Kind: failure.DeadlineWhileRunning, Ran: failure.DidRun}
 	case err != nil:
 		return queue.Outcome{Kind: failure.BackendLost, Ran: failure.DidRun, Reason: "the answer broke off"}
-	case int64(len(body)) > c.set.MaxAnswer:
-		return queue.Outcome{Kind: failure.AnswerTooLarge, Ran: failure.DidRun, Reason: fmt.Sprintf("over %d bytes", c.set.MaxAnswer)}
+	case int64(len(body)) > c.cfg.MaxAnswer:
+		return queue.Outcome{Kind: failure.AnswerTooLarge, Ran: failure.DidRun, Reason: fmt.Sprintf("over %d bytes", c.cfg.MaxAnswer)}
 	case resp.StatusCode != http.StatusOK:
 		reason := fmt.Sprintf("status %d: %.*q", resp.StatusCode, maxErrorText, body)
 		return queue.Outcome{Kind: failure.TaskFailed, Ran: failure.DidRun, Reason: reason}
@@ -144,41 +144,45 @@
 	return queue.Outcome{Kind: failure.None, Ran: failure.DidRun, Body: body}
 }
 
-// sendTrace finds out whether any byte of a request was written.
+// sendTrace records whether any byte of a request was written to its connection.
 type sendTrace struct {
-	conn   *countingConn
-	before int64
+	conn        *countingConn
+	bytesBefore int64 // written on the connection before this request
 }
 
+// attach returns a context whose request is traced by s.
 func (s *sendTrace) attach(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			if cc, ok := info.Conn.(*countingConn); ok {
 				s.conn = cc
-				s.before = cc.written.Load()
+				s.bytesBefore = cc.written.Load()
 			}
 		},
 	})
 }
 
 func (s *sendTrace) wrote() bool {
-	return s.conn != nil && s.conn.written.Load() > s.before
+	return s.conn != nil && s.conn.written.Load() > s.bytesBefore
 }
 
+// outcome returns the outcome of a request that got no response. The task did not run if no byte
+// was sent; else it is unknown whether it ran.
 func (s *sendTrace) outcome(err error) queue.Outcome {
-	late := errors.Is(err, context.DeadlineExceeded)
+	timedOut := errors.Is(err, context.DeadlineExceeded)
 	switch {
-	case !s.wrote() && late:
+	case !s.wrote() && timedOut:
 		return queue.Outcome{Kind: failure.DeadlineInQueue, Ran: failure.NotRun, Reason: "the backend server took no connection"}
 	case !s.wrote():
 		return queue.Outcome{Kind: failure.BackendUnreachable, Ran: failure.NotRun, Reason: cause(err)}
-	case late:
+	case timedOut:
 		return queue.Outcome{Kind: failure.DeadlineWhileRunning, Ran: failure.RanUnknown}
 	}
 	return queue.Outcome{Kind: failure.BackendLost, Ran: failure.RanUnknown, Reason: cause(err)}
 }
 
-// cause leaves out the URL, which callers have no business with.
+// cause returns the text of the wrapped error. The outer one would reveal the backend server's URL
+// to callers.
 func cause(err error) string {
 	if next := errors.Unwrap(err); next != nil {
 		err = next
@@ -186,8 +190,8 @@
 	return err.Error()
 }
 
-// countingConn counts the bytes written to a connection, or handed to the
-// kernel in part.
+// countingConn counts the bytes that the kernel accepted for a connection, those of partial writes
+// included.
 type countingConn struct {
 	net.Conn
 	written atomic.Int64
--- a/submissions/backend/client_test.go
+++ b/submissions/backend/client_test.go
@@ -84,8 +84,8 @@
 		Expect(strconv.Atoi(<-lease)).To(And(BeNumerically(">", 0), BeNumerically("<=", 10000)))
 	})
 
-	// Go's transport replays a request on a connection that was reused and then
-	// closed, if it thinks that it may. Ours must reach the server once (hazard 7).
+	// Go's transport repeats a request that fails on a reused connection if it considers the
+	// request repeatable. A task's request must reach the server only once (hazard 7).
 	It("is never sent a second time on another connection", func() {
 		var got atomic.Int64
 		ln, err := net.Listen("tcp", ports.Any)
@@ -110,8 +110,8 @@
 	})
 })
 
-// answerOnceThenClose answers the first request of a connection and closes it
-// on the second one, after reading it.
+// answerOnceThenClose answers the first request of a connection. It reads the second one and closes
+// the connection without an answer.
 func answerOnceThenClose(nc net.Conn, got *atomic.Int64) {
 	defer nc.Close()
 	r := bufio.NewReader(nc)
--- a/submissions/backend/usage.go
+++ b/submissions/backend/usage.go
@@ -10,23 +10,23 @@
 	"github.com/zeebo/errs"
 )
 
-// UsagePath is where a backend server reports what it uses.
+// UsagePath is the path of a backend server's usage report.
 const UsagePath = "/v1/usage"
 
-// Usage is a backend server's report. It lags behind what is the case.
+// Usage is a backend server's report of the resources in use. It lags behind the present.
 type Usage struct {
-	At          time.Time `json:"at"` // when it was true
+	At          time.Time `json:"at"` // time of the measurement
 	Cores       float64   `json:"cores"`
 	MemoryBytes float64   `json:"memory_bytes"`
 	Tasks       int       `json:"tasks"` // running
 }
 
-// maxUsage bounds a usage report, in bytes.
-const maxUsage = 4 << 10
+// maxUsageBytes bounds the size of a usage report.
+const maxUsageBytes = 4 << 10
 
-// Usage reads the report.
+// Usage reads the backend server's latest report.
 func (c *Client) Usage(ctx context.Context) (Usage, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.set.URL+UsagePath, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.cfg.URL+UsagePath, nil)
 	if err != nil {
 		return Usage{}, errs.Wrap(err)
 	}
@@ -39,6 +39,6 @@
 		return Usage{}, errs.New("usage: status %d", resp.StatusCode)
 	}
 	var u Usage
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxUsage)).Decode(&u)
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxUsageBytes)).Decode(&u)
 	return u, errs.Wrap(err)
 }
