--- a/submissions/client/client.go
+++ b/submissions/client/client.go
@@ -1,6 +1,5 @@
-// Package client speaks to entries on behalf of callers and operators. It owns idle
-// HTTP connections, and makes the IDs of submissions; it never sends a submission
-// again by itself.
+// Package client is the HTTP client of entries, for callers and operators. It generates submission
+// IDs and owns the HTTP connections. It never resends a submission by itself.
 package client
 
 import (
@@ -17,29 +16,29 @@
 	"github.com/lichenfall/lichenfall/submissions/job"
 )
 
-// NewID returns a submission ID made now.
+// NewID returns a new submission ID, which carries the current time.
 func NewID() string { return uuid.Must(uuid.NewV7()).String() }
 
-// Client speaks to one entry, or to a balancer before several.
+// Client sends requests to one entry, or to a load balancer in front of several.
 type Client struct {
 	url  string
 	http *http.Client
 }
 
-// maxIdle is how many idle connections to one entry are kept, so that a load generator need
-// not dial for each job.
-const maxIdle = 1024
+// maxIdleConns is how many idle connections to one entry are kept, so that a load generator
+// doesn't dial for each job.
+const maxIdleConns = 1024
 
 // New returns a client for the entry at url.
 func New(url string) *Client {
-	return &Client{url: url, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdle}}}
+	return &Client{url: url, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Submit sends a submission and waits for its answer. An error means that no
-// answer came, so that nothing is known; the same request may be sent again.
+// Submit sends a submission and waits for its answer. An error means that no answer was received,
+// so that the outcome is unknown; the same request may be sent again.
 func (c *Client) Submit(ctx context.Context, r *job.Request) (*job.Answer, error) {
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -50,20 +49,20 @@
 		return nil, errs.Wrap(err)
 	}
 	req.Header.Set("Content-Type", "application/json")
-	return c.answer(req)
+	return c.do(req)
 }
 
-// Lookup asks for the state of a submission.
+// Lookup returns the state of a submission.
 func (c *Client) Lookup(ctx context.Context, id string) (*job.Answer, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url+"/v1/submissions/"+url.PathEscape(id), nil)
 	if err != nil {
 		return nil, errs.Wrap(err)
 	}
-	return c.answer(req)
+	return c.do(req)
 }
 
-// IDs takes n new submission IDs from the entry. They are chosen so that they
-// can be claimed now; NewID makes them without asking.
+// IDs fetches n new submission IDs from the entry, which chooses IDs that can be claimed now. NewID
+// generates an ID without a request, but its holder may be unavailable.
 func (c *Client) IDs(ctx context.Context, n int) ([]string, error) {
 	var out struct {
 		IDs []string `json:"ids"`
@@ -75,7 +74,7 @@
 	return out.IDs, err
 }
 
-// Get reads the JSON of an operators' endpoint such as /v1/state into v.
+// Get decodes the JSON response of an endpoint for operators, such as /v1/state, into v.
 func (c *Client) Get(ctx context.Context, path string, v any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url+path, nil)
 	if err != nil {
@@ -89,7 +88,8 @@
 	return errs.Wrap(json.NewDecoder(resp.Body).Decode(v))
 }
 
-func (c *Client) answer(req *http.Request) (*job.Answer, error) {
+// do sends the request and decodes the entry's answer, whatever its status.
+func (c *Client) do(req *http.Request) (*job.Answer, error) {
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return nil, errs.Wrap(err)
