--- a/submissions/boxlist/client.go
+++ b/submissions/boxlist/client.go
@@ -1,6 +1,5 @@
-// Package boxlist is the client of the service that lists the boxes. It owns a
-// few idle connections, and relies on the list's version to tell whether there is
-// anything new.
+// Package boxlist is the HTTP client of the platform's service that lists the boxes. It owns up to
+// two idle connections. It relies on the service to increase the list's version with each change.
 package boxlist
 
 import (
@@ -16,24 +15,25 @@
 	"github.com/lichenfall/lichenfall/submissions/membership"
 )
 
-// maxReply bounds one reading, in bytes; some 100,000 boxes.
-const maxReply = 32 << 20
+// maxResponse bounds one response in bytes; it has room for some 100,000 boxes.
+const maxResponse = 32 << 20
 
-// Client speaks to one platform service.
+// Client reads the box list of one service.
 type Client struct {
 	url  string
 	http *http.Client
 }
 
-// New returns a client for the service at url; each call ends within limit.
-func New(url string, limit time.Duration) *Client {
-	return &Client{url: url, http: &http.Client{Timeout: limit, Transport: &http.Transport{MaxIdleConnsPerHost: 2}}}
+// New returns a client for the service at url. Each call ends within timeout.
+func New(url string, timeout time.Duration) *Client {
+	return &Client{url: url, http: &http.Client{Timeout: timeout, Transport: &http.Transport{MaxIdleConnsPerHost: 2}}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Boxes reads the box list; changed is false when it still has the version.
+// Boxes reads the box list. If the service's list still has the given version, changed is false and
+// list is empty.
 func (c *Client) Boxes(ctx context.Context, version uint64) (list membership.BoxList, changed bool, err error) {
 	status, body, err := c.get(ctx, fmt.Sprintf("/v1/boxes?after=%d", version))
 	if err != nil || status == http.StatusNotModified {
@@ -60,6 +60,6 @@
 		return 0, nil, errs.Wrap(err)
 	}
 	defer resp.Body.Close()
-	body, err = io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	body, err = io.ReadAll(io.LimitReader(resp.Body, maxResponse))
 	return resp.StatusCode, body, errs.Wrap(err)
 }
