--- a/submissions/fakebackend/backend.go
+++ b/submissions/fakebackend/backend.go
@@ -1,6 +1,7 @@
-// Package fakebackend is a stand-in for a backend server: it runs tasks over
-// HTTP as a real one would, keeps an independent journal of every start, and
-// misbehaves when told to. It serves tests, experiments and the dev command.
+// Package fakebackend is a stand-in for a backend server, for tests, experiments and the dev
+// command. It runs tasks over HTTP as a real one would, by waiting for the task's time, and injects
+// faults on request. It owns a journal of every start, which is independent of what agents and
+// entries report.
 package fakebackend
 
 import (
@@ -19,35 +20,35 @@
 	"github.com/lichenfall/lichenfall/submissions/backend"
 )
 
-// Payload is what the stand-in looks for in a task's payload; a payload of any
-// other shape is run with the settings' task time and echoed.
+// Payload is the form of a task's payload that controls the stand-in. A payload of any other form
+// takes the task time of the settings and is echoed.
 type Payload struct {
-	SleepMS *float64        `json:"sleep_ms"` // task time; absent means that of the settings
-	Echo    json.RawMessage `json:"echo"`     // what to answer; absent means the whole payload
+	SleepMS *float64        `json:"sleep_ms"` // task time; if absent, that of the settings
+	Echo    json.RawMessage `json:"echo"`     // the result; if absent, the whole payload
 	Fail    bool            `json:"fail"`     // answer with status 500
-	Hang    bool            `json:"hang"`     // answer only when the caller leaves
+	Hang    bool            `json:"hang"`     // answer only when the lease ends or the caller disconnects
 	Close   bool            `json:"close"`    // close the connection instead of answering
-	Size    int             `json:"size"`     // answer with a string of that length
+	Size    int             `json:"size"`     // answer with a string of this length, in bytes
 }
 
-// Faults is how the stand-in misbehaves. Rates are shares of tasks, 0 to 1.
+// Faults are the faults that the stand-in injects. Rates are shares of tasks, from 0 to 1.
 type Faults struct {
-	SlowFactor float64 `json:"slow_factor"` // of the task time; zero means 1
+	SlowFactor float64 `json:"slow_factor"` // multiplies the task time; values below 1 count as 1
 	FailRate   float64 `json:"fail_rate"`
 	HangRate   float64 `json:"hang_rate"`
 	CloseRate  float64 `json:"close_rate"`
 	FastFail   bool    `json:"fast_fail"` // fail at once, without the task time
 }
 
-// Settings are what does not change while it runs.
+// Settings are the settings that stay the same while the stand-in runs.
 type Settings struct {
 	Listen   string        // IP number and port
-	TaskTime time.Duration // mean time of a task that names none
+	TaskTime time.Duration // time of a task whose payload gives none
 	Tail     float64       // share of such tasks that take ten times as long
-	UsageLag time.Duration // of usage reports
+	UsageLag time.Duration // age of the usage that is reported
 }
 
-// Start is one line of the journal.
+// Start is one entry of the journal: the start of a task.
 type Start struct {
 	Submission string    `json:"submission"`
 	Task       uint64    `json:"task"`
@@ -56,28 +57,28 @@
 
 // Backend is a running stand-in.
 type Backend struct {
-	set Settings
+	cfg Settings
 	srv *web.Server
 
-	mu      sync.Mutex
-	faults  Faults
-	rng     *rand.Rand
-	journal []Start
-	running int
-	most    int
-	reports []backend.Usage // oldest first
+	mu          sync.Mutex
+	faults      Faults
+	rng         *rand.Rand
+	journal     []Start
+	running     int
+	peakRunning int
+	reports     []backend.Usage // by time, oldest first
 }
 
 const (
-	maxConns   = 1024                  // of callers
-	usageGrain = 50 * time.Millisecond // between two points of a usage report
-	maxReports = 1000                  // points that are kept
-	taskMemory = 16 << 20              // bytes that a task is said to use
+	maxConns        = 1024                  // connections of clients
+	usageInterval   = 50 * time.Millisecond // between two recorded reports of usage
+	maxReports      = 1000                  // recorded reports that are kept
+	taskMemoryBytes = 16 << 20              // reported for each running task
 )
 
-// New starts a stand-in; seed makes its random choices.
+// New starts a stand-in. Its random choices follow from seed.
 func New(s Settings, seed uint64) (*Backend, error) {
-	b := &Backend{set: s, rng: rand.New(rand.NewPCG(seed, seed))}
+	b := &Backend{cfg: s, rng: rand.New(rand.NewPCG(seed, seed))}
 	e := web.NewEcho()
 	e.POST(backend.Path, b.run)
 	e.GET(backend.UsagePath, b.usage)
@@ -93,31 +94,31 @@
 	return b, nil
 }
 
-// URL returns where agents reach it.
+// URL returns the URL for agents, without a path.
 func (b *Backend) URL() string { return "http://" + b.srv.Addr() }
 
-// Close ends it at once.
+// Close stops the stand-in at once.
 func (b *Backend) Close() { b.srv.Close() }
 
-// SetFaults changes how it misbehaves.
+// SetFaults replaces the injected faults. Tasks that have begun are not affected.
 func (b *Backend) SetFaults(f Faults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.faults = f
 }
 
-// Journal returns every start so far.
+// Journal returns all starts so far, in their order.
 func (b *Backend) Journal() []Start {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]Start{}, b.journal...)
 }
 
-// Most returns the greatest number of tasks that ran at once.
-func (b *Backend) Most() int {
+// PeakRunning returns the greatest number of tasks that ran at once.
+func (b *Backend) PeakRunning() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.most
+	return b.peakRunning
 }
 
 func (b *Backend) setFaults(c echo.Context) error {
@@ -138,9 +139,9 @@
 	if err != nil {
 		return c.String(http.StatusBadRequest, "no task number\n")
 	}
-	b.begin(Start{Submission: c.Request().Header.Get(backend.HeaderSubmission), Task: index, At: time.Now()})
-	defer b.end()
-	ctx, cancel := lease(c)
+	b.taskStarted(Start{Submission: c.Request().Header.Get(backend.HeaderSubmission), Task: index, At: time.Now()})
+	defer b.taskEnded()
+	ctx, cancel := leaseContext(c)
 	defer cancel()
 	c.SetRequest(c.Request().WithContext(ctx))
 	var p Payload
@@ -150,11 +151,12 @@
 	if p.Echo == nil {
 		p.Echo = body
 	}
-	return b.act(c, p)
+	return b.respond(c, p)
 }
 
-// lease ends the task's time with the lease that it runs under.
-func lease(c echo.Context) (context.Context, context.CancelFunc) {
+// leaseContext returns a context that ends with the lease of the task, or when the caller
+// disconnects.
+func leaseContext(c echo.Context) (context.Context, context.CancelFunc) {
 	ctx := c.Request().Context()
 	ms, err := strconv.ParseInt(c.Request().Header.Get(backend.HeaderLease), 10, 64)
 	if err != nil {
@@ -163,12 +165,13 @@
 	return context.WithTimeout(ctx, time.Duration(ms)*time.Millisecond)
 }
 
-// usage reports how many tasks run, as of the lag before now.
+// usage responds with the newest report that is at least UsageLag old, or with the oldest one if
+// none is.
 func (b *Backend) usage(c echo.Context) error {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for len(b.reports) > 1 && now.Sub(b.reports[1].At) >= b.set.UsageLag {
+	for len(b.reports) > 1 && now.Sub(b.reports[1].At) >= b.cfg.UsageLag {
 		b.reports = b.reports[1:]
 	}
 	if len(b.reports) == 0 {
@@ -177,27 +180,28 @@
 	return c.JSON(http.StatusOK, b.reports[0])
 }
 
-// note keeps a report of the present for the time when it may be seen; one for
-// each grain of time is enough. The caller holds mu.
-func (b *Backend) note(now time.Time) {
-	if n := len(b.reports); n > 0 && now.Sub(b.reports[n-1].At) < usageGrain {
+// recordUsage records the present usage, to be reported after the lag. A change within
+// usageInterval of the last record updates that record. The caller holds mu.
+func (b *Backend) recordUsage(now time.Time) {
+	if n := len(b.reports); n > 0 && now.Sub(b.reports[n-1].At) < usageInterval {
 		b.reports[n-1].Tasks = b.running
 		b.reports[n-1].Cores = float64(b.running)
 		return
 	}
-	b.reports = append(b.reports, backend.Usage{At: now, Tasks: b.running, Cores: float64(b.running), MemoryBytes: float64(b.running) * taskMemory})
+	b.reports = append(b.reports, backend.Usage{At: now, Tasks: b.running, Cores: float64(b.running), MemoryBytes: float64(b.running) * taskMemoryBytes})
 	if len(b.reports) > maxReports {
 		b.reports = b.reports[1:]
 	}
 }
 
-func (b *Backend) act(c echo.Context, p Payload) error {
-	d, p := b.plan(p)
+// respond waits for the task's time and writes its result, with the faults in force.
+func (b *Backend) respond(c echo.Context, p Payload) error {
+	d, p := b.applyFaults(p)
 	if p.Hang {
 		<-c.Request().Context().Done()
 		return c.String(http.StatusGatewayTimeout, "the lease lapsed\n")
 	}
-	if !sleep(c, d) {
+	if !sleepUnlessDone(c, d) {
 		return c.String(http.StatusGatewayTimeout, "the lease lapsed\n")
 	}
 	switch {
@@ -211,8 +215,8 @@
 	return c.JSONBlob(http.StatusOK, p.Echo)
 }
 
-// plan adds the faults in force to what the payload asks for.
-func (b *Backend) plan(p Payload) (time.Duration, Payload) {
+// applyFaults returns the task's time and its payload with the faults in force added.
+func (b *Backend) applyFaults(p Payload) (time.Duration, Payload) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f := b.faults
@@ -225,17 +229,19 @@
 	return time.Duration(float64(b.taskTime(p)) * max(1, f.SlowFactor)), p
 }
 
+// taskTime returns the time that the task takes without faults.
 func (b *Backend) taskTime(p Payload) time.Duration {
 	if p.SleepMS != nil {
 		return time.Duration(*p.SleepMS * float64(time.Millisecond))
 	}
-	if b.rng.Float64() < b.set.Tail {
-		return 10 * b.set.TaskTime
+	if b.rng.Float64() < b.cfg.Tail {
+		return 10 * b.cfg.TaskTime
 	}
-	return b.set.TaskTime
+	return b.cfg.TaskTime
 }
 
-func sleep(c echo.Context, d time.Duration) bool {
+// sleepUnlessDone waits for d; it returns false if the request's context ends first.
+func sleepUnlessDone(c echo.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -249,18 +255,18 @@
 	}
 }
 
-func (b *Backend) begin(s Start) {
+func (b *Backend) taskStarted(s Start) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.journal = append(b.journal, s)
 	b.running++
-	b.most = max(b.most, b.running)
-	b.note(s.At)
+	b.peakRunning = max(b.peakRunning, b.running)
+	b.recordUsage(s.At)
 }
 
-func (b *Backend) end() {
+func (b *Backend) taskEnded() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.running--
-	b.note(time.Now())
+	b.recordUsage(time.Now())
 }
--- a/submissions/fakeboxlist/boxlist.go
+++ b/submissions/fakeboxlist/boxlist.go
@@ -1,6 +1,6 @@
-// Package fakeboxlist is a stand-in for the service that tells entries which
-// boxes there are. It lags behind, and fails when told to: outages and slow
-// answers. It owns the list that it was given.
+// Package fakeboxlist is a stand-in for the platform's service that lists the boxes. It owns all
+// versions of the list that it was given, and injects faults on request: outages, slow responses
+// and lists that lag behind.
 package fakeboxlist
 
 import (
@@ -15,35 +15,36 @@
 	"github.com/lichenfall/lichenfall/submissions/membership"
 )
 
-// Faults is how the stand-in misbehaves.
+// Faults are the faults that the stand-in injects.
 type Faults struct {
-	Outage    bool    `json:"outage"`      // every call but admin's fails
-	DelayMS   float64 `json:"delay_ms"`    // added to every answer
-	ListLagMS float64 `json:"list_lag_ms"` // before a change of the box list shows
+	Outage    bool    `json:"outage"`      // fail every request but those to /admin
+	DelayMS   float64 `json:"delay_ms"`    // added to every response but those to /admin
+	ListLagMS float64 `json:"list_lag_ms"` // until a change of the box list is visible
 }
 
 // List is a running stand-in.
 type List struct {
 	srv *web.Server
 
-	mu     sync.Mutex
-	faults Faults
-	lists  []listed // oldest first; the last one is the truth
+	mu       sync.Mutex
+	faults   Faults
+	versions []datedList // oldest first; the last one is current
 }
 
-type listed struct {
-	at   time.Time
-	list membership.BoxList
+// datedList is one version of the box list and when it was set.
+type datedList struct {
+	setAt time.Time
+	list  membership.BoxList
 }
 
-// maxConns bounds the connections of callers; one for each entry and each test at once.
+// maxConns bounds the connections of clients: one for each entry, and those of the test.
 const maxConns = 4096
 
 // New starts a stand-in that listens on the address.
 func New(listen string) (*List, error) {
 	l := &List{}
 	e := web.NewEcho()
-	e.GET("/v1/boxes", l.guard(l.boxes))
+	e.GET("/v1/boxes", l.withFaults(l.boxes))
 	e.POST("/admin/faults", l.postFaults)
 	e.POST("/admin/boxes", l.postBoxes)
 	limits := web.DefaultLimits()
@@ -56,32 +57,32 @@
 	return l, nil
 }
 
-// URL returns where it is reached.
+// URL returns the URL of the stand-in, without a path.
 func (l *List) URL() string { return "http://" + l.srv.Addr() }
 
-// Close ends it at once.
+// Close stops the stand-in at once.
 func (l *List) Close() { l.srv.Close() }
 
-// SetFaults changes how it misbehaves.
+// SetFaults replaces the injected faults.
 func (l *List) SetFaults(f Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = f
 }
 
-// SetBoxes changes the box list; it shows after the lag.
+// SetBoxes replaces the box list. The new version is visible after the lag.
 func (l *List) SetBoxes(boxes []membership.Box) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	version := uint64(1)
-	if n := len(l.lists); n > 0 {
-		version = l.lists[n-1].list.Version + 1
+	if n := len(l.versions); n > 0 {
+		version = l.versions[n-1].list.Version + 1
 	}
-	l.lists = append(l.lists, listed{time.Now(), membership.BoxList{Version: version, Boxes: boxes}})
+	l.versions = append(l.versions, datedList{time.Now(), membership.BoxList{Version: version, Boxes: boxes}})
 }
 
-// guard applies outage and delay to a call.
-func (l *List) guard(h echo.HandlerFunc) echo.HandlerFunc {
+// withFaults returns a handler that applies the outage and the delay in force before h.
+func (l *List) withFaults(h echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		l.mu.Lock()
 		f := l.faults
@@ -94,6 +95,7 @@
 	}
 }
 
+// boxes responds with the visible list, or with status 304 if the client has that version.
 func (l *List) boxes(c echo.Context) error {
 	after, err := strconv.ParseUint(c.QueryParam("after"), 10, 64)
 	if err != nil {
@@ -106,14 +108,14 @@
 	return c.JSON(http.StatusOK, list)
 }
 
-// visible returns the newest list that is older than the lag.
+// visible returns the newest list that is at least as old as the lag, or an empty list.
 func (l *List) visible(now time.Time) membership.BoxList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	lag := time.Duration(l.faults.ListLagMS * float64(time.Millisecond))
-	for i := len(l.lists) - 1; i >= 0; i-- {
-		if now.Sub(l.lists[i].at) >= lag {
-			return l.lists[i].list
+	for i := len(l.versions) - 1; i >= 0; i-- {
+		if now.Sub(l.versions[i].setAt) >= lag {
+			return l.versions[i].list
 		}
 	}
 	return membership.BoxList{}
--- a/submissions/local/local_test.go
+++ b/submissions/local/local_test.go
@@ -145,7 +145,7 @@
 			Expect(string(res)).To(Equal(fmt.Sprint(i)))
 		}
 		for _, b := range s.Backends {
-			Expect(b.Most()).To(BeNumerically("<=", 8))
+			Expect(b.PeakRunning()).To(BeNumerically("<=", 8))
 		}
 	})
 
