--- a/submissions/load/distribution.go
+++ b/submissions/load/distribution.go
@@ -1,6 +1,6 @@
-// Package load is an open-loop load generator for entries: jobs arrive at
-// their times whether or not earlier ones are answered, and every answer is
-// checked.
+// Package load is an open-loop load generator for entries: it sends each job at its planned time,
+// whether or not earlier jobs are answered, and checks every answer. It relies on backend servers
+// that interpret payloads as package fakebackend does.
 package load
 
 import (
@@ -14,19 +14,20 @@
 	"github.com/zeebo/errs"
 )
 
-// Distribution draws positive numbers. Its text form is a word, a colon and
-// numbers: const:20, uniform:1-150, exp:100, lognormal:100-0.5 (median and
-// sigma), pareto:50-1.5 (least value and shape), mix:1-0.8-150 (the first value
-// with the given share, else the last).
+// Distribution is a distribution of non-negative numbers. Its text form is a name, a colon and
+// parameters separated by hyphens: const:20, uniform:1-150, exp:100 (mean), lognormal:100-0.5
+// (median and sigma), pareto:50-1.5 (minimum and shape), mix:1-0.8-150 (the first value with the
+// given probability, else the last).
 type Distribution struct {
 	text    string
 	shape   string
 	numbers []float64
 }
 
+// shapes maps the name of each distribution to its number of parameters.
 var shapes = map[string]int{"const": 1, "uniform": 2, "exp": 1, "lognormal": 2, "pareto": 2, "mix": 3}
 
-// ParseDistribution reads the text form.
+// ParseDistribution parses the text form.
 func ParseDistribution(text string) (Distribution, error) {
 	shape, rest, _ := strings.Cut(text, ":")
 	want, ok := shapes[shape]
@@ -51,7 +52,7 @@
 // String returns the text form.
 func (d Distribution) String() string { return d.text }
 
-// Draw returns the next number.
+// Draw draws a number with r.
 func (d Distribution) Draw(r *rand.Rand) float64 {
 	n := d.numbers
 	switch d.shape {
@@ -72,16 +73,16 @@
 	return n[0]
 }
 
-// Arrivals draws the times between jobs.
+// Arrivals describes the process by which jobs arrive.
 type Arrivals struct {
 	Rate   float64       // jobs a second, outside bursts
-	Even   bool          // equal gaps in place of a Poisson process
-	Factor float64       // of the rate, in a burst; zero means no bursts
-	Every  time.Duration // from the beginning of one burst to the next
+	Even   bool          // equal gaps instead of a Poisson process
+	Factor float64       // multiplies the rate during a burst; zero means no bursts
+	Every  time.Duration // from the start of one burst to the start of the next
 	Length time.Duration // of a burst
 }
 
-// Gap returns the time from a job at the given time of the run to the next.
+// Gap draws the time between the job that arrives at the given time of the run and the next job.
 func (a Arrivals) Gap(at time.Duration, r *rand.Rand) time.Duration {
 	rate := a.Rate
 	if a.Factor > 0 && a.Every > 0 && at%a.Every < a.Length {
@@ -94,7 +95,7 @@
 	return time.Duration(gap / rate * float64(time.Second))
 }
 
-// String describes the arrivals for reports.
+// String returns a description for reports.
 func (a Arrivals) String() string {
 	s := fmt.Sprintf("poisson %g/s", a.Rate)
 	if a.Even {
--- a/submissions/load/load_test.go
+++ b/submissions/load/load_test.go
@@ -31,7 +31,7 @@
 		Expect(len(load.Trace(plan(1)))).To(BeNumerically("~", 2000, 200))
 	})
 
-	It("has bursts where it says so", func() {
+	It("has the given share of its arrivals in bursts", func() {
 		p := plan(1)
 		p.Arrivals = load.Arrivals{Rate: 10, Factor: 10, Every: 10 * time.Second, Length: 2 * time.Second}
 		in := 0
@@ -46,7 +46,7 @@
 })
 
 var _ = Describe("distributions", func() {
-	DescribeTable("that make no sense are refused", func(text string) {
+	DescribeTable("that are malformed or have invalid numbers are rejected", func(text string) {
 		_, err := load.ParseDistribution(text)
 		Expect(err).To(MatchError(ContainSubstring(text)))
 	}, Entry("unknown", "zipf:1"), Entry("too few numbers", "uniform:1"), Entry("no number", "const:x"), Entry("negative", "exp:-1"))
--- a/submissions/load/run.go
+++ b/submissions/load/run.go
@@ -11,38 +11,39 @@
 	"github.com/lichenfall/lichenfall/submissions/job"
 )
 
-// Plan is what to submit.
+// Plan describes the jobs of a run.
 type Plan struct {
-	Entries   []string // URLs; jobs go to them in turn
+	Entries   []string // URLs; jobs are sent to them in rotation
 	Workspace string
 	Pool      string
 	Arrivals  Arrivals
-	FanOut    Distribution // tasks of a job
+	FanOut    Distribution // tasks per job
 	TaskTime  Distribution // milliseconds
 	Duration  time.Duration
-	Timeout   time.Duration // until a job's deadline
+	Timeout   time.Duration // from sending a job to its deadline
 	Resend    float64       // share of jobs sent a second time, through another entry
 	Seed      uint64
-	MaxFanOut int
+	MaxFanOut int // limit of the tasks per job
 }
 
-// Run carries out the plan and waits for all answers. progress is called every
-// second; it may be nil.
+// Run sends the jobs of the plan and waits for all answers. If ctx ends, it sends no more jobs and
+// abandons those in flight. Unless it is nil, progress is called every second.
 func Run(ctx context.Context, p Plan, progress func(*Report)) *Report {
 	g := &generator{plan: p, report: newReport(p)}
 	for _, u := range p.Entries {
 		g.clients = append(g.clients, client.New(u))
 	}
 	defer g.close()
-	stop := g.watch(progress)
+	stop := g.reportProgress(progress)
 	start := time.Now()
-	g.arrive(ctx, start)
+	g.sendAll(ctx, start)
 	g.wg.Wait()
 	stop()
 	g.report.Elapsed = time.Since(start)
 	return g.report
 }
 
+// generator is the state of one run.
 type generator struct {
 	plan    Plan
 	clients []*client.Client
@@ -57,7 +58,8 @@
 	}
 }
 
-func (g *generator) watch(progress func(*Report)) (stop func()) {
+// reportProgress calls progress every second until stop is called.
+func (g *generator) reportProgress(progress func(*Report)) (stop func()) {
 	if progress == nil {
 		return func() {}
 	}
@@ -77,9 +79,9 @@
 	return func() { close(done) }
 }
 
-// arrive sends each job at its time. A job that is late because this process
-// was slow counts from the time at which it should have been sent.
-func (g *generator) arrive(ctx context.Context, start time.Time) {
+// sendAll sends each job at its planned time. Latency is counted from that time, so that it includes
+// the delay of a job that this process sent late.
+func (g *generator) sendAll(ctx context.Context, start time.Time) {
 	for _, a := range Trace(g.plan) {
 		due := start.Add(a.At)
 		if wait := time.Until(due); wait > 0 {
@@ -92,6 +94,8 @@
 	}
 }
 
+// send sends one job in a goroutine of its own, and a second time through another entry if the plan
+// says so.
 func (g *generator) send(ctx context.Context, arrival Arrival, due time.Time) {
 	r := g.request(arrival)
 	entry := g.sent % len(g.clients)
@@ -100,7 +104,7 @@
 	go func() {
 		defer g.wg.Done()
 		a, err := g.clients[entry].Submit(ctx, r)
-		g.report.add(r, a, err, time.Since(due), arrival.Longest())
+		g.report.recordAnswer(r, a, err, time.Since(due), arrival.Longest())
 	}()
 	if arrival.Resend {
 		other := (entry + 1) % len(g.clients)
@@ -108,7 +112,7 @@
 		go func() {
 			defer g.wg.Done()
 			a, err := g.clients[other].Submit(ctx, r)
-			g.report.addResend(r, a, err)
+			g.report.recordResend(r, a, err)
 		}()
 	}
 }
@@ -123,21 +127,21 @@
 	}
 	for i, d := range a.Times {
 		ms := float64(d) / float64(time.Millisecond)
-		r.Tasks[i].Payload = json.RawMessage(fmt.Sprintf(`{"sleep_ms":%.3f,"echo":%s}`, ms, echo(r.ID, i)))
+		r.Tasks[i].Payload = json.RawMessage(fmt.Sprintf(`{"sleep_ms":%.3f,"echo":%s}`, ms, echoOf(r.ID, i)))
 	}
 	return r
 }
 
-// echo is what task i of a submission must be answered with.
-func echo(id string, i int) string { return fmt.Sprintf(`"%s/%d"`, id, i) }
+// echoOf returns the expected result of task i of a submission.
+func echoOf(id string, i int) string { return fmt.Sprintf(`"%s/%d"`, id, i) }
 
-// right returns whether a complete answer holds every task's own result.
-func right(r *job.Request, a *job.Answer) bool {
+// correct reports whether a complete answer holds the expected result of every task.
+func correct(r *job.Request, a *job.Answer) bool {
 	if a.Submission != r.ID || len(a.Results) != len(r.Tasks) {
 		return false
 	}
 	for i, res := range a.Results {
-		if string(res) != echo(r.ID, i) {
+		if string(res) != echoOf(r.ID, i) {
 			return false
 		}
 	}
--- a/submissions/load/spread.go
+++ b/submissions/load/spread.go
@@ -7,17 +7,17 @@
 	"sort"
 )
 
-// Spread is the median of several runs and their range.
+// Spread is the median and the range of a figure over several runs.
 type Spread struct {
 	Median float64 `json:"median"`
 	Low    float64 `json:"low"`
 	High   float64 `json:"high"`
 }
 
-// String returns the median with the range behind it.
+// String returns the median, followed by the range in brackets.
 func (s Spread) String() string { return fmt.Sprintf("%.3f (%.3f-%.3f)", s.Median, s.Low, s.High) }
 
-// SpreadOf returns the spread of a figure over runs.
+// SpreadOf returns the spread of a figure over runs, or zero without runs.
 func SpreadOf(runs []Summary, figure func(Summary) float64) Spread {
 	values := make([]float64, len(runs))
 	for i, r := range runs {
@@ -34,6 +34,7 @@
 	return Spread{Median: mid, Low: values[0], High: values[len(values)-1]}
 }
 
+// figure is a row of the table that WriteSpreads writes.
 type figure struct {
 	name string
 	of   func(Summary) float64
@@ -58,7 +59,7 @@
 	{"messages/task, all", func(s Summary) float64 { return s.AllMessages() }},
 }
 
-// AllMessages returns the messages for each task, of all kinds.
+// AllMessages returns the number of messages per task, of all kinds together.
 func (s Summary) AllMessages() float64 {
 	var sum float64
 	for _, n := range s.Messages {
@@ -67,7 +68,7 @@
 	return sum
 }
 
-// WriteSpreads writes the figures of runs of one plan as a Markdown table.
+// WriteSpreads writes the spreads over several runs of one plan as a Markdown table.
 func WriteSpreads(w io.Writer, runs []Summary) {
 	if len(runs) == 0 {
 		return
@@ -82,7 +83,7 @@
 	}
 }
 
-// messageKinds returns the kinds of which any run sent a message.
+// messageKinds returns, in order, the kinds of message that any run sent.
 func messageKinds(runs []Summary) []string {
 	seen := make(map[string]bool)
 	for _, r := range runs {
--- a/submissions/load/trace.go
+++ b/submissions/load/trace.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Arrival is one job of a plan: when it comes and what its tasks need.
+// Arrival is one job of a plan: when it is sent and how long its tasks take.
 type Arrival struct {
 	At     time.Duration
-	Times  []time.Duration // of its tasks
-	Resend bool
+	Times  []time.Duration // of each task
+	Resend bool            // sent a second time
 }
 
-// Longest returns the time of the longest task: what the job takes at best.
+// Longest returns the time of the longest task, which is the least that the job can take.
 func (a *Arrival) Longest() time.Duration {
 	var longest time.Duration
 	for _, d := range a.Times {
@@ -21,8 +21,8 @@
 	return longest
 }
 
-// Trace draws all arrivals of the plan. Plans that differ only in where they
-// are run have the same trace.
+// Trace draws all arrivals of the plan. The trace depends only on the plan's seed, duration, rates
+// and distributions, so that the same jobs can be sent to different systems.
 func Trace(p Plan) []Arrival {
 	rng := rand.New(rand.NewPCG(p.Seed, p.Seed))
 	var out []Arrival
