--- a/submissions/local/cluster.go
+++ b/submissions/local/cluster.go
@@ -1,6 +1,6 @@
-// Package local runs a whole lichenfall in one process on loopback, with
-// stand-ins for backend servers and platform. The dev command, the load tool
-// and the tests use it.
+// Package local runs entries and agents in one process on loopback, with stand-ins for the backend
+// servers and the platform's box list. It owns all that it starts. The dev command, the load command
+// and tests use it.
 package local
 
 import (
@@ -18,29 +18,29 @@
 	"github.com/lichenfall/lichenfall/submissions/membership"
 )
 
-// Options says what to run.
+// Options configures a cluster.
 type Options struct {
 	Entries     int
 	Agents      int
-	DataCentres []string // agents and entries are spread over them in turn
-	HTTP        string   // address of the first entry; empty means any port
+	DataCentres []string // agents and entries are assigned to them in rotation
+	HTTP        string   // HTTP address of the first entry; empty means a free port
 	Backend     fakebackend.Settings
 	Log         *logging.Log
 	Seed        uint64
-	// Entry and Agent change the settings of each before it starts.
+	// Entry and Agent, unless nil, change the settings of each entry and agent before it starts.
 	Entry func(*config.Entry)
 	Agent func(*config.Agent)
 }
 
-// Names used by a local system.
+// The workspace and the pool that the entries of a cluster accept.
 const (
 	Workspace = "tabua"
 	Pool      = "default"
 )
 
-const racks = 3 // agents to a rack
+const agentsPerRack = 3
 
-// Cluster is a running system.
+// Cluster is a running set of entries, agents and stand-ins.
 type Cluster struct {
 	BoxList  *fakeboxlist.List
 	Backends []*fakebackend.Backend
@@ -52,8 +52,8 @@
 	boxes   []membership.Box
 }
 
-// Start starts everything and waits until the entries are ready and IDs made
-// from now on can be claimed.
+// Start starts a cluster. It returns when every entry is connected to every agent and new IDs can be
+// claimed at all agents, or with an error when ctx ends.
 func Start(ctx context.Context, o Options) (*Cluster, error) {
 	if len(o.DataCentres) == 0 {
 		o.DataCentres = []string{"local"}
@@ -85,7 +85,7 @@
 			return err
 		}
 	}
-	return c.await(ctx)
+	return c.awaitReady(ctx)
 }
 
 func (c *Cluster) addAgent(i int) error {
@@ -105,7 +105,7 @@
 		Name:       fmt.Sprintf("agent-%d", i),
 		Address:    c.holders[i],
 		DataCentre: c.dataCentre(i),
-		Rack:       fmt.Sprintf("rack-%d", i/racks),
+		Rack:       fmt.Sprintf("rack-%d", i/agentsPerRack),
 		State:      membership.Live,
 	})
 	return nil
@@ -150,8 +150,8 @@
 	return c.opts.DataCentres[i%len(c.opts.DataCentres)]
 }
 
-// RestartAgent ends an agent as a crash would and starts another at the same
-// address, which knows nothing. Its backend server goes on.
+// RestartAgent ends an agent as a crash would, and starts a new one at the same address with empty
+// state. Its backend server keeps running.
 func (c *Cluster) RestartAgent(i int) error {
 	c.Agents[i].Kill()
 	a, err := agent.Start(c.agentConfig(i), c.opts.Log)
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// URLs returns where callers reach the entries.
+// URLs returns the URLs of the entries, without a path.
 func (c *Cluster) URLs() []string {
 	out := make([]string, len(c.Entries))
 	for i, e := range c.Entries {
@@ -172,29 +172,30 @@
 }
 
 const (
-	readyPoll = 10 * time.Millisecond // between questions whether an entry is ready
-	idGrain   = time.Millisecond      // IDs carry their time rounded down to it
+	readyPoll    = 10 * time.Millisecond // between two checks whether an entry is connected to all agents
+	idResolution = time.Millisecond      // the time in an ID is rounded down to a multiple of it
 )
 
-// await waits until every entry is connected to every agent and the holders'
-// memory reaches back to now.
-func (c *Cluster) await(ctx context.Context) error {
+// awaitReady waits until every entry is connected to every agent, and IDs that are created from now on
+// can be claimed at every agent.
+func (c *Cluster) awaitReady(ctx context.Context) error {
 	for _, e := range c.Entries {
 		for e.Connected() < len(c.Agents) {
-			if err := pause(ctx, readyPoll); err != nil {
+			if err := sleep(ctx, readyPoll); err != nil {
 				return err
 			}
 		}
 	}
 	for _, a := range c.Agents {
-		if err := pause(ctx, time.Until(a.ClaimsSince().Add(idGrain))); err != nil {
+		if err := sleep(ctx, time.Until(a.ClaimsSince().Add(idResolution))); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for d, or returns the cause of the end of ctx.
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return context.Cause(ctx)
@@ -203,7 +204,7 @@
 	}
 }
 
-// Stop makes a planned stop of everything, entries first.
+// Stop performs a planned stop of all entries and then of all agents, and closes the stand-ins.
 func (c *Cluster) Stop(ctx context.Context) {
 	for _, e := range c.Entries {
 		e.Stop(ctx)
@@ -214,7 +215,7 @@
 	c.closeFakes()
 }
 
-// Close ends everything at once.
+// Close stops everything at once.
 func (c *Cluster) Close() {
 	for _, e := range c.Entries {
 		e.Kill()
@@ -234,7 +235,8 @@
 	}
 }
 
-// ScrapeURLs returns where the metrics of all entries and agents are read.
+// ScrapeURLs returns the URLs of the servers with the metrics of all entries and agents, without a
+// path.
 func (c *Cluster) ScrapeURLs() []string {
 	out := c.URLs()
 	for _, a := range c.Agents {
--- a/submissions/local/local_test.go
+++ b/submissions/local/local_test.go
@@ -25,9 +25,9 @@
 	"github.com/lichenfall/lichenfall/submissions/membership"
 )
 
-// These tests run whole systems on loopback. Their waits are bounds that a slow
-// machine does not reach; nothing is asserted about speed.
-const long = 30 * time.Second
+// longWait bounds the waits of these tests, which run whole clusters on loopback. A slow machine
+// doesn't reach it; nothing is asserted about speed.
+const longWait = 30 * time.Second
 
 func TestLocal(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreTopFunction("github.com/onsi/ginkgo/v2/internal/interrupt_handler.(*InterruptHandler).registerForInterrupts.func2"))
@@ -43,7 +43,7 @@
 
 func start(entries, agents int, change func(*local.Options)) *system {
 	GinkgoHelper()
-	ctx, cancel := context.WithTimeout(context.Background(), 2*long)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*longWait)
 	DeferCleanup(cancel)
 	o := local.Options{Entries: entries, Agents: agents, Log: logging.Discard(), Seed: 1}
 	if change != nil {
@@ -62,7 +62,7 @@
 }
 
 func request(payloads ...string) *job.Request {
-	r := &job.Request{ID: client.NewID(), Workspace: local.Workspace, Pool: local.Pool, TimeoutMS: long.Milliseconds()}
+	r := &job.Request{ID: client.NewID(), Workspace: local.Workspace, Pool: local.Pool, TimeoutMS: longWait.Milliseconds()}
 	for _, p := range payloads {
 		r.Tasks = append(r.Tasks, job.TaskRequest{Payload: json.RawMessage(p)})
 	}
@@ -84,8 +84,9 @@
 	return a
 }
 
-// later submits without waiting and hands the answer over.
-func (s *system) later(entry int, r *job.Request) <-chan *job.Answer {
+// submitAsync submits in the background. The channel gets the answer, unless the request fails, and
+// is closed.
+func (s *system) submitAsync(entry int, r *job.Request) <-chan *job.Answer {
 	out := make(chan *job.Answer, 1)
 	go func() {
 		a, err := s.clients[entry].Submit(s.ctx, r)
@@ -97,7 +98,7 @@
 	return out
 }
 
-// starts returns how often each task of the submission was started.
+// starts returns the number of starts of each task of the submission.
 func (s *system) starts(id string) map[uint64]int {
 	out := make(map[uint64]int)
 	for _, b := range s.Backends {
@@ -110,10 +111,11 @@
 	return out
 }
 
-func (s *system) running(id string) func() int { return func() int { return len(s.starts(id)) } }
+// startedTasks returns a function that counts the tasks of the submission that were started.
+func (s *system) startedTasks(id string) func() int { return func() int { return len(s.starts(id)) } }
 
-// jobs returns the number of unfinished jobs at all entries.
-func (s *system) jobs() int {
+// unfinishedJobs returns the number of unfinished jobs at all entries.
+func (s *system) unfinishedJobs() int {
 	n := 0
 	for _, c := range s.clients {
 		var state struct{ Jobs int }
@@ -124,15 +126,15 @@
 	return n
 }
 
-// reason returns why an answer is a failure, as far as there is one.
-func reason(a *job.Answer) any {
+// failureOf returns the error of a failed answer, else the answer itself.
+func failureOf(a *job.Answer) any {
 	if a == nil || a.Error == nil {
 		return a
 	}
 	return *a.Error
 }
 
-var _ = Describe("a whole system", func() {
+var _ = Describe("a cluster", func() {
 	It("answers a job of 150 tasks over 11 agents of 8 slots", func() {
 		s := start(1, 11, nil)
 		r := request()
@@ -149,10 +151,10 @@
 		}
 	})
 
-	It("gives each of 1,000 crossed jobs its own answer (hazard 12)", func() {
+	It("answers each of 1,000 concurrent jobs with its own results (hazard 12)", func() {
 		s := start(2, 3, func(o *local.Options) {
 			o.Agent = func(c *config.Agent) { c.Backend.Queue = 10000 }
-			// None is refused for a wait: a busy machine may be slow to answer.
+			// No job may be refused because a busy machine delays answers.
 			o.Entry = func(c *config.Entry) {
 				c.Jobs.MaxWait = config.Duration(time.Minute)
 				c.Claims.Wait = config.Duration(5 * time.Second)
@@ -169,7 +171,7 @@
 				want := fmt.Sprintf(`{"job":%d}`, n)
 				a, err := s.clients[n%2].Submit(s.ctx, request(`{"echo":`+want+`}`, `{"echo":`+want+`}`))
 				if err != nil || len(a.Results) != 2 || string(a.Results[0]) != want || string(a.Results[1]) != want {
-					wrong <- fmt.Sprintf("job %d: %+v %v", n, reason(a), err)
+					wrong <- fmt.Sprintf("job %d: %+v %v", n, failureOf(a), err)
 				}
 			}()
 		}
@@ -182,10 +184,10 @@
 		Expect(all).To(BeEmpty())
 	})
 
-	It("lets a resend join the first copy, and answers a later one the same (hazards 1, 9, 13)", func() {
+	It("joins a resent submission to the first one, and answers a later resend with the same results (hazards 1, 9, 13)", func() {
 		s := start(2, 3, nil)
 		r := request(repeat(5, `{"sleep_ms":300,"echo":"x"}`)...)
-		first, second := s.later(0, r), s.later(1, r)
+		first, second := s.submitAsync(0, r), s.submitAsync(1, r)
 		a, b := <-first, <-second
 		Expect(a.State).To(Equal(job.Complete))
 		Expect(b.Results).To(Equal(a.Results))
@@ -202,13 +204,13 @@
 		}
 	})
 
-	It("does not start a submission again whose entry died (hazards 1 and 2)", func() {
+	It("does not start a submission again whose entry crashed (hazards 1 and 2)", func() {
 		s := start(2, 3, nil)
 		r := request(`{"sleep_ms":200}`)
-		gone := s.later(0, r)
-		Eventually(s.running(r.ID), long).Should(Equal(1))
+		gone := s.submitAsync(0, r)
+		Eventually(s.startedTasks(r.ID), longWait).Should(Equal(1))
 		s.Entries[0].Kill()
-		Eventually(gone, long).Should(BeClosed())
+		Eventually(gone, longWait).Should(BeClosed())
 		a := s.submit(1, r)
 		Expect(a.Error.Ran).To(Equal("unknown"))
 		Expect(a.Error.Kind).To(BeElementOf("outcome_unknown", "claim_unavailable"))
@@ -223,17 +225,17 @@
 		for i := range s.Agents {
 			Expect(s.RestartAgent(i)).To(Succeed())
 		}
-		Eventually(s.Entries[1].Connected, long).Should(Equal(2))
-		Eventually(func() string { return s.submit(1, r).Error.Kind }, long).Should(Equal("outcome_unknown"))
+		Eventually(s.Entries[1].Connected, longWait).Should(Equal(2))
+		Eventually(func() string { return s.submit(1, r).Error.Kind }, longWait).Should(Equal("outcome_unknown"))
 		Expect(s.starts(r.ID)).To(Equal(map[uint64]int{0: 1}))
-		Eventually(func() job.State { return s.submit(1, request(`1`)).State }, long, "200ms").Should(Equal(job.Complete))
+		Eventually(func() job.State { return s.submit(1, request(`1`)).State }, longWait, "200ms").Should(Equal(job.Complete))
 	})
 
-	It("fails a job at once when an agent dies with its tasks (hazards 8 and 11)", func() {
+	It("fails a job at once when an agent crashes that holds tasks of it (hazards 8 and 11)", func() {
 		s := start(1, 2, nil)
 		r := request(repeat(8, `{"sleep_ms":20000}`)...)
-		answer := s.later(0, r)
-		Eventually(s.running(r.ID), long).Should(Equal(8))
+		answer := s.submitAsync(0, r)
+		Eventually(s.startedTasks(r.ID), longWait).Should(Equal(8))
 		s.Agents[0].Kill()
 		a := <-answer
 		Expect(a.Error.Kind).To(Equal("agent_lost"))
@@ -241,17 +243,17 @@
 		Expect(a.Results).To(BeEmpty())
 	})
 
-	It("fails the whole job for one failed task and cancels what has not started (hazard 11)", func() {
+	It("fails the whole job when one task fails, and cancels the tasks that have not started (hazard 11)", func() {
 		s := start(1, 1, nil)
 		r := request(append([]string{`{"fail":true}`}, repeat(30, `{"sleep_ms":300}`)...)...)
 		a := s.submit(0, r)
 		Expect(a.Error.Kind).To(Equal("task_failed"))
 		Expect(a.Error.Ran).To(Equal("ran"))
 		Expect(*a.Error.Task).To(Equal(0))
-		Consistently(s.running(r.ID), "700ms").Should(BeNumerically("<", 20))
+		Consistently(s.startedTasks(r.ID), "700ms").Should(BeNumerically("<", 20))
 	})
 
-	It("tries elsewhere what certainly did not run, and nothing else", func() {
+	It("retries at another agent only tasks that certainly did not run", func() {
 		s := start(1, 3, nil)
 		s.Backends[0].Close()
 		for range 5 {
@@ -267,14 +269,14 @@
 		}
 	})
 
-	It("cuts off nothing when agents and entries stop as planned (hazard 26)", func() {
+	It("completes all jobs in flight at a planned stop of an agent and an entry (hazard 26)", func() {
 		s := start(2, 3, nil)
 		var answers []<-chan *job.Answer
 		for n := range 12 {
-			answers = append(answers, s.later(n%2, request(repeat(3, `{"sleep_ms":1500,"echo":7}`)...)))
+			answers = append(answers, s.submitAsync(n%2, request(repeat(3, `{"sleep_ms":1500,"echo":7}`)...)))
 		}
-		Eventually(s.jobs, long, "5ms").Should(Equal(12))
-		ctx, cancel := context.WithTimeout(s.ctx, long)
+		Eventually(s.unfinishedJobs, longWait, "5ms").Should(Equal(12))
+		ctx, cancel := context.WithTimeout(s.ctx, longWait)
 		defer cancel()
 		s.Agents[0].Stop(ctx)
 		s.Entries[0].Stop(ctx)
@@ -294,7 +296,7 @@
 		}
 	})
 
-	It("works on while the platform is out, and obeys its word on leaving boxes (hazards 24 and 25)", func() {
+	It("places no tasks on boxes listed as leaving, and keeps working during an outage of the platform (hazards 24 and 25)", func() {
 		s := start(1, 3, func(o *local.Options) {
 			o.Entry = func(c *config.Entry) { c.BoxList.Poll = config.Duration(50 * time.Millisecond) }
 		})
@@ -317,7 +319,7 @@
 			}
 			return n == 1
 		}
-		Eventually(leaving, long).Should(BeTrue())
+		Eventually(leaving, longWait).Should(BeTrue())
 		before := len(s.Backends[0].Journal())
 		s.BoxList.SetBoxes(nil)
 		s.BoxList.SetFaults(fakeboxlist.Faults{Outage: true})
@@ -327,7 +329,7 @@
 		Expect(s.Backends[0].Journal()).To(HaveLen(before))
 	})
 
-	It("waits for an answer longer than it gives a caller to send the request", func() {
+	It("waits for an answer longer than the time limit for a request's body", func() {
 		s := start(1, 1, func(o *local.Options) {
 			o.Entry = func(c *config.Entry) { c.HTTP.BodyTimeout = config.Duration(300 * time.Millisecond) }
 		})
@@ -346,11 +348,11 @@
 		}
 	})
 
-	It("tells any entry's caller the state of a submission", func() {
+	It("returns the state of a submission from any entry", func() {
 		s := start(2, 2, nil)
 		r := request(`{"sleep_ms":500}`)
-		answer := s.later(0, r)
-		Eventually(s.running(r.ID), long).Should(Equal(1))
+		answer := s.submitAsync(0, r)
+		Eventually(s.startedTasks(r.ID), longWait).Should(Equal(1))
 		for _, c := range s.clients {
 			a, err := c.Lookup(s.ctx, r.ID)
 			Expect(err).NotTo(HaveOccurred())
@@ -369,7 +371,7 @@
 })
 
 var _ = Describe("bad input", func() {
-	It("is refused by kind and field, counted, and starts nothing", func() {
+	It("is rejected with its kind of failure, counted, and starts no task", func() {
 		s := start(1, 1, nil)
 		id := client.NewID()
 		good := `{"id":"` + id + `","team":"` + local.Workspace + `","pool":"` + local.Pool + `","tasks":[{"payload":1}]}`
@@ -392,11 +394,11 @@
 		_, a = s.post(strings.Repeat(`{"tasks":[`, 100000))
 		Expect(a.Error.Kind).To(Equal("bad_request"))
 		Expect(s.Backends[0].Journal()).To(BeEmpty())
-		Eventually(s.metrics, long).Should(ContainSubstring(`kind="unknown_team"`))
-		Eventually(s.metrics, long).Should(MatchRegexp(`lichenfall_answers\{kind="bad_request".*\} 2`))
+		Eventually(s.metrics, longWait).Should(ContainSubstring(`kind="unknown_team"`))
+		Eventually(s.metrics, longWait).Should(MatchRegexp(`lichenfall_answers\{kind="bad_request".*\} 2`))
 	})
 
-	It("on the port for peers closes that connection, counted, and no other (hazards 15 and 39)", func() {
+	It("on the port for peers closes only its own connection, and is counted (hazards 15 and 39)", func() {
 		s := start(1, 1, nil)
 		for reason, bytes := range map[string]string{
 			"too_long": "\xff\xff\xff\xff\x01", "malformed": "\x00\x00\x00\x02\x01\xc1",
@@ -409,13 +411,13 @@
 			Expect(err).NotTo(HaveOccurred())
 			_, err = nc.Write([]byte(bytes))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(nc.SetReadDeadline(time.Now().Add(long))).To(Succeed())
-			_, err = nc.Read(make([]byte, 1<<10)) // its hello
+			Expect(nc.SetReadDeadline(time.Now().Add(longWait))).To(Succeed())
+			_, err = nc.Read(make([]byte, 1<<10)) // the agent's hello
 			Expect(err).NotTo(HaveOccurred())
 			_, err = nc.Read(make([]byte, 1))
 			Expect(err).To(HaveOccurred())
 			Expect(nc.Close()).To(Succeed())
-			Eventually(func() string { return get(s.ctx, "http://"+s.Agents[0].AdminAddr()+"/metrics") }, long).
+			Eventually(func() string { return get(s.ctx, "http://"+s.Agents[0].AdminAddr()+"/metrics") }, longWait).
 				Should(MatchRegexp(`lichenfall_connection_faults\{reason="` + reason + `".*\} 1`))
 		}
 		Expect(s.submit(0, request(`1`)).State).To(Equal(job.Complete))
