--- a/submissions/soak/processes_test.go
+++ b/submissions/soak/processes_test.go
@@ -22,23 +22,23 @@
 	"github.com/lichenfall/lichenfall/submissions/fakebackend"
 )
 
-// process is one real process, which may be started again with the same
-// arguments.
+// process is an operating system process, which may be started again with the same arguments.
 type process struct {
 	name string
 	args []string
 	cmd  *exec.Cmd
 }
 
-// fault is something done to a process or to the platform.
+// fault is an injected fault of a process or of the platform's stand-in.
 type fault struct {
-	what  string // "kill", "pause", "stop" or "outage"
+	kind  string // "kill", "pause", "stop" or "outage"
 	role  string // "agent", "entry" or "platform"
 	index int
 	from  time.Time
 	to    time.Time
 }
 
+// processes is the set of processes under test, and the faults injected into them.
 type processes struct {
 	t           *testing.T
 	binary      string
@@ -50,13 +50,13 @@
 	agents      []*process
 	entries     []*process
 
-	mu   sync.Mutex
-	done []fault
-	busy map[string]bool
-	wg   sync.WaitGroup
+	mu       sync.Mutex
+	faultLog []fault
+	busy     map[string]bool
+	wg       sync.WaitGroup
 }
 
-func startAll(t *testing.T) *processes {
+func startProcesses(t *testing.T) *processes {
 	dir := t.TempDir()
 	p := &processes{t: t, dir: dir, binary: filepath.Join(dir, "lichenfall"), busy: make(map[string]bool)}
 	if out, err := exec.Command("go", "build", "-o", p.binary, "..").CombinedOutput(); err != nil {
@@ -73,18 +73,18 @@
 		backend := free[agents+i]
 		p.backendURLs = append(p.backendURLs, "http://"+backend)
 		p.start(&process{name: fmt.Sprintf("backend-%d", i), args: []string{"fake-backend", "--listen", backend}})
-		p.agents = append(p.agents, p.start(p.agent(i)))
+		p.agents = append(p.agents, p.start(p.agentProcess(i)))
 	}
 	for i := range entries {
 		p.entryURLs = append(p.entryURLs, "http://"+free[2*agents+i])
-		p.entries = append(p.entries, p.start(p.entry(i, free[2*agents+i], free[2*agents+entries+i])))
+		p.entries = append(p.entries, p.start(p.entryProcess(i, free[2*agents+i], free[2*agents+entries+i])))
 	}
 	p.awaitReady()
 	return p
 }
 
-func (p *processes) agent(i int) *process {
-	return p.configured("agent", i, map[string]any{
+func (p *processes) agentProcess(i int) *process {
+	return p.withSettings("agent", i, map[string]any{
 		"box":     map[string]any{"name": fmt.Sprintf("agent-%d", i)},
 		"peers":   map[string]any{"listen": p.holders[i]},
 		"claims":  map[string]any{"holders": p.holders},
@@ -93,8 +93,8 @@
 	})
 }
 
-func (p *processes) entry(i int, http, peers string) *process {
-	return p.configured("entry", i, map[string]any{
+func (p *processes) entryProcess(i int, http, peers string) *process {
+	return p.withSettings("entry", i, map[string]any{
 		"box":      map[string]any{"name": fmt.Sprintf("entry-%d", i)},
 		"http":     map[string]any{"listen": http},
 		"peers":    map[string]any{"listen": peers},
@@ -105,7 +105,7 @@
 	})
 }
 
-func (p *processes) configured(role string, i int, settings map[string]any) *process {
+func (p *processes) withSettings(role string, i int, settings map[string]any) *process {
 	text, err := json.Marshal(settings)
 	if err != nil {
 		p.t.Fatal(err)
@@ -154,16 +154,16 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	time.Sleep(2 * time.Second) // the holders' memory begins
+	time.Sleep(2 * time.Second) // until new IDs can be claimed: an agent grants no ID made before it started
 }
 
-// misbehave brings about a fault every few seconds, some of them together.
-func (p *processes) misbehave(ctx context.Context, rng *rand.Rand) {
+// injectFaults injects one or two concurrent faults every few seconds, until ctx ends.
+func (p *processes) injectFaults(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
-		time.Sleep(time.Duration(float64(faultEvery) * (0.5 + rng.Float64())))
+		time.Sleep(time.Duration(float64(faultInterval) * (0.5 + rng.Float64())))
 		for range 1 + rng.IntN(2) {
 			p.wg.Add(1)
-			do := p.draw(rng)
+			do := p.drawFault(rng)
 			go func() {
 				defer p.wg.Done()
 				do()
@@ -172,8 +172,9 @@
 	}
 }
 
-// draw chooses a fault and all that is random about it.
-func (p *processes) draw(rng *rand.Rand) func() {
+// drawFault chooses a fault, the process and the length of the fault at random, and returns a
+// function that injects it.
+func (p *processes) drawFault(rng *rand.Rand) func() {
 	role, procs := "agent", p.agents
 	if rng.IntN(3) == 0 {
 		role, procs = "entry", p.entries
@@ -182,17 +183,17 @@
 	length := time.Duration(500+rng.IntN(4000)) * time.Millisecond
 	switch rng.IntN(7) {
 	case 0, 1:
-		return func() { p.on(role, i, "kill", func() { p.kill(procs[i], length) }) }
+		return func() { p.inject(role, i, "kill", func() { p.kill(procs[i], length) }) }
 	case 2, 3:
-		return func() { p.on(role, i, "pause", func() { p.pause(procs[i], length) }) }
+		return func() { p.inject(role, i, "pause", func() { p.pause(procs[i], length) }) }
 	case 4, 5:
-		return func() { p.on(role, i, "stop", func() { p.stop(procs[i], length) }) }
+		return func() { p.inject(role, i, "stop", func() { p.stop(procs[i], length) }) }
 	}
-	return func() { p.on("platform", 0, "outage", func() { p.outage(2 * length) }) }
+	return func() { p.inject("platform", 0, "outage", func() { p.outage(2 * length) }) }
 }
 
-// on does something to a process that nothing else is being done to.
-func (p *processes) on(role string, i int, what string, do func()) {
+// inject runs do and records it as a fault, unless another fault of the same process is under way.
+func (p *processes) inject(role string, i int, kind string, do func()) {
 	name := fmt.Sprintf("%s-%d", role, i)
 	p.mu.Lock()
 	if p.busy[name] {
@@ -201,12 +202,12 @@
 	}
 	p.busy[name] = true
 	p.mu.Unlock()
-	f := fault{what: what, role: role, index: i, from: time.Now()}
+	f := fault{kind: kind, role: role, index: i, from: time.Now()}
 	do()
 	f.to = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.done = append(p.done, f)
+	p.faultLog = append(p.faultLog, f)
 	p.busy[name] = false
 }
 
@@ -247,13 +248,14 @@
 	resp.Body.Close()
 }
 
-// settle waits until no fault is under way.
-func (p *processes) settle() {
+// awaitFaults waits until no fault is under way, and then for the timeout of a job.
+func (p *processes) awaitFaults() {
 	p.wg.Wait()
 	time.Sleep(timeout)
 }
 
-// journal returns the number of starts by submission and task.
+// journal returns the number of starts of each task, by submission and task index, from the
+// journals of all backend servers.
 func (p *processes) journal() map[string]map[uint64]int {
 	out := make(map[string]map[uint64]int)
 	for _, u := range p.backendURLs {
@@ -276,50 +278,53 @@
 	return out
 }
 
-// slackTime is how long after a fault its effects may still show.
-const slackTime = 3 * time.Second
+// faultAftermath is how long after its end a fault may still affect requests.
+const faultAftermath = 3 * time.Second
 
-// cutOff returns why a request must have been cut off by a planned stop: it
-// got no answer, or lost an agent, and nothing but planned stops happened to
-// any process that it may have met.
-func (p *processes) cutOff(c *told) string {
+// interruptedBy returns the planned stop that must have interrupted a call, or an empty string. A
+// call was interrupted by a planned stop if it got no answer or lost an agent or a backend server,
+// and no process was killed or paused during the call or shortly before it. If no planned stop is on
+// record either, the text states that.
+func (p *processes) interruptedBy(c *call) string {
 	lost := c.answer == nil || c.answer.Error != nil && (c.answer.Error.Kind == "agent_lost" || c.answer.Error.Kind == "backend_lost")
 	if !lost {
 		return ""
 	}
 	why := ""
-	for _, f := range p.done {
-		if f.to.Add(slackTime).Before(c.sent) || f.from.After(c.ended) {
+	for _, f := range p.faultLog {
+		if f.to.Add(faultAftermath).Before(c.sent) || f.from.After(c.ended) {
 			continue
 		}
 		switch {
-		case f.what == "kill" || f.what == "pause":
+		case f.kind == "kill" || f.kind == "pause":
 			return ""
 		case c.answer == nil && f.role == "entry" && f.index == c.entry && c.sent.After(f.from):
-			return "" // it was sent to a box that had stopped listening
-		case f.what == "stop":
+			return "" // it was sent to an entry that had stopped listening
+		case f.kind == "stop":
 			why = fmt.Sprintf("%s %d at %s", f.role, f.index, f.from.Format(time.TimeOnly))
 		}
 	}
 	if why == "" {
-		return "nothing that is known of"
+		return "no fault is recorded"
 	}
 	return why
 }
 
-func (p *processes) platformOut(at time.Time) bool {
-	for _, f := range p.done {
-		if f.what == "outage" && !at.Before(f.from) && !at.After(f.to) {
+// platformWasOut reports whether the time is within an injected outage of the platform.
+func (p *processes) platformWasOut(at time.Time) bool {
+	for _, f := range p.faultLog {
+		if f.kind == "outage" && !at.Before(f.from) && !at.After(f.to) {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *processes) faults() string {
+// countFaults returns the numbers of faults by kind and role, as text.
+func (p *processes) countFaults() string {
 	counts := make(map[string]int)
-	for _, f := range p.done {
-		counts[f.what+" of "+f.role]++
+	for _, f := range p.faultLog {
+		counts[f.kind+" of "+f.role]++
 	}
 	keys := make([]string, 0, len(counts))
 	for k, n := range counts {
--- a/submissions/soak/soak_test.go
+++ b/submissions/soak/soak_test.go
@@ -1,9 +1,9 @@
 //go:build soak
 
-// Package soak runs real processes on loopback under load, kills and pauses
-// them, and checks the promises from two things alone: the journals of the
-// stand-in backend servers, and what callers were told. It is no part of the
-// ordinary tests: make soak-submissions.
+// Package soak runs entries and agents as processes of their own on loopback, under load. It kills,
+// pauses and stops them, takes the platform's stand-in out of service, and checks the promises by
+// two sources alone: the journals of the stand-ins for backend servers, and the answers that
+// callers received. It isn't part of the ordinary tests; run it by make soak-submissions.
 package soak
 
 import (
@@ -25,57 +25,59 @@
 )
 
 var (
-	duration = flag.Duration("soak.duration", 10*time.Minute, "how long jobs arrive")
+	duration = flag.Duration("soak.duration", 10*time.Minute, "time during which jobs are submitted")
 	rate     = flag.Float64("soak.rate", 15, "jobs a second")
-	seed     = flag.Uint64("soak.seed", 1, "of the random choices")
-	report   = flag.String("soak.report", "", "file for the report")
+	seed     = flag.Uint64("soak.seed", 1, "seed of the random choices")
+	report   = flag.String("soak.report", "", "file to write the report to")
 )
 
 const (
-	entries     = 3
-	agents      = 11
-	resendShare = 0.1
-	timeout     = 5 * time.Second
-	faultEvery  = 5 * time.Second
+	entries       = 3
+	agents        = 11
+	resendShare   = 0.1
+	timeout       = 5 * time.Second
+	faultInterval = 5 * time.Second
 )
 
-// told is what one caller sent and was told.
-type told struct {
+// call is one request of a caller, and its answer.
+type call struct {
 	id     string
 	entry  int
 	resend bool
 	sent   time.Time
 	ended  time.Time
 	tasks  int
-	answer *job.Answer // nil when none came
+	answer *job.Answer // nil if there was none
 }
 
+// soak is the state of one run.
 type soak struct {
 	t       *testing.T
 	rng     *rand.Rand
 	procs   *processes
 	clients []*client.Client
 
-	mu   sync.Mutex
-	told []told
-	wg   sync.WaitGroup
+	mu    sync.Mutex
+	calls []call
+	wg    sync.WaitGroup
 }
 
 func TestSoak(t *testing.T) {
-	s := &soak{t: t, rng: rand.New(rand.NewPCG(*seed, 1)), procs: startAll(t)}
+	s := &soak{t: t, rng: rand.New(rand.NewPCG(*seed, 1)), procs: startProcesses(t)}
 	for _, u := range s.procs.entryURLs {
 		s.clients = append(s.clients, client.New(u))
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), *duration)
 	defer cancel()
-	go s.procs.misbehave(ctx, rand.New(rand.NewPCG(*seed, 2)))
+	go s.procs.injectFaults(ctx, rand.New(rand.NewPCG(*seed, 2)))
 	s.load(ctx)
 	s.wg.Wait()
-	s.procs.settle()
+	s.procs.awaitFaults()
 	s.check()
 }
 
-// load submits jobs at the rate until ctx ends, a tenth of them twice.
+// load submits jobs at the given rate until ctx ends. A share of resendShare of them is submitted a
+// second time, through another entry.
 func (s *soak) load(ctx context.Context) {
 	for ctx.Err() == nil {
 		r := s.request()
@@ -104,19 +106,19 @@
 		time.Sleep(after)
 		ctx, cancel := context.WithTimeout(context.Background(), timeout+10*time.Second)
 		defer cancel()
-		c := told{id: r.ID, entry: entry, resend: resend, sent: time.Now(), tasks: len(r.Tasks)}
+		c := call{id: r.ID, entry: entry, resend: resend, sent: time.Now(), tasks: len(r.Tasks)}
 		a, err := s.clients[entry].Submit(ctx, r)
 		c.ended = time.Now()
 		if err == nil {
 			c.answer = a
 		}
 		s.mu.Lock()
-		s.told = append(s.told, c)
+		s.calls = append(s.calls, c)
 		s.mu.Unlock()
 	}()
 }
 
-// check compares what callers were told with the journals.
+// check compares the answers that callers received with the journals.
 func (s *soak) check() {
 	starts := s.procs.journal()
 	twice, half, falseNotRun, cut := 0, 0, 0, 0
@@ -131,10 +133,10 @@
 		}
 	}
 	outcomes := make(map[string]int)
-	for i := range s.told {
-		c := &s.told[i]
+	for i := range s.calls {
+		c := &s.calls[i]
 		outcomes[c.outcome()]++
-		if !c.whole() {
+		if !c.isValid() {
 			half++
 			s.t.Errorf("%s: not a whole answer of its own: %+v", c.id, c.answer)
 		}
@@ -142,17 +144,17 @@
 			falseNotRun++
 			s.t.Errorf("%s is said not to have run, but was started", c.id)
 		}
-		if why := s.procs.cutOff(c); why != "" {
+		if why := s.procs.interruptedBy(c); why != "" {
 			cut++
 			s.t.Errorf("%s through entry %d was cut off by a planned stop: %s", c.id, c.entry, why)
 		}
 	}
-	s.write(fmt.Sprintf("submissions %d, tasks started %d, faults: %s\n"+
+	s.writeReport(fmt.Sprintf("submissions %d, tasks started %d, faults: %s\n"+
 		"double starts %d, half or foreign answers %d, false \"not run\" %d, cut off by planned stops %d\n%s%s",
-		len(s.told), tasks, s.procs.faults(), twice, half, falseNotRun, cut, list(outcomes, len(s.told)), s.refusedSpans()))
+		len(s.calls), tasks, s.procs.countFaults(), twice, half, falseNotRun, cut, formatCounts(outcomes, len(s.calls)), s.refusalSpans()))
 }
 
-func (c *told) outcome() string {
+func (c *call) outcome() string {
 	name := "first copy: "
 	if c.resend {
 		name = "resend: "
@@ -166,7 +168,9 @@
 	return name + "complete"
 }
 
-func (c *told) whole() bool {
+// isValid reports whether the answer, if there is one, is either a failure without results or
+// complete with the results of this very submission.
+func (c *call) isValid() bool {
 	if c.answer == nil {
 		return true
 	}
@@ -181,18 +185,19 @@
 	return len(c.answer.Results) == c.tasks && c.answer.Submission == c.id
 }
 
-func (c *told) saysNotRun() bool {
+func (c *call) saysNotRun() bool {
 	return c.answer != nil && c.answer.Error != nil && c.answer.Error.Ran == "not run"
 }
 
-// refusedSpans returns the longest time between two served first copies of one
-// holder's IDs with a refusal between them, with the platform up and out.
-func (s *soak) refusedSpans() string {
-	sort.Slice(s.told, func(i, k int) bool { return s.told[i].sent.Before(s.told[k].sent) })
+// refusalSpans returns, as text, the longest time between two first submissions that were served
+// and whose IDs have the same holder, with a refused one between them. It does so separately for
+// refusals while the platform was up and during its outages.
+func (s *soak) refusalSpans() string {
+	sort.Slice(s.calls, func(i, k int) bool { return s.calls[i].sent.Before(s.calls[k].sent) })
 	last := make(map[string]time.Time)
 	refused := make(map[string]time.Time)
 	longest := map[bool]time.Duration{}
-	for _, c := range s.told {
+	for _, c := range s.calls {
 		if c.resend || c.answer == nil {
 			continue
 		}
@@ -204,7 +209,7 @@
 			continue
 		}
 		if !refused[h].IsZero() {
-			out := s.procs.platformOut(refused[h])
+			out := s.procs.platformWasOut(refused[h])
 			longest[out] = max(longest[out], c.sent.Sub(last[h]))
 		}
 		last[h] = c.sent
@@ -214,7 +219,7 @@
 		longest[false].Seconds(), longest[true].Seconds())
 }
 
-func list(counts map[string]int, all int) string {
+func formatCounts(counts map[string]int, all int) string {
 	keys := make([]string, 0, len(counts))
 	for k := range counts {
 		keys = append(keys, k)
@@ -227,7 +232,7 @@
 	return b.String()
 }
 
-func (s *soak) write(text string) {
+func (s *soak) writeReport(text string) {
 	s.t.Log("\n" + text)
 	if *report == "" {
 		return
