--- a/jobs/room/random_test.go
+++ b/jobs/room/random_test.go
@@ -12,8 +12,8 @@
 )
 
 // drawRows returns the waiting tasks of one request.
-func drawRows(t *rapid.T) []wire.RoomWait {
-	rows := make([]wire.RoomWait, rapid.IntRange(0, 3).Draw(t, "rows"))
+func drawRows(t *rapid.T) []wire.WaitingGroup {
+	rows := make([]wire.WaitingGroup, rapid.IntRange(0, 3).Draw(t, "rows"))
 	for i := range rows {
 		rows[i] = waits(rapid.IntRange(0, 5).Draw(t, "tasks"), rapid.IntRange(0, 12).Draw(t, "cores"), rapid.Int64Range(-300, 300).Draw(t, "first"), rapid.Int64Range(-5, 50).Draw(t, "gap"))
 		rows[i].Priority = int32(i)
@@ -116,11 +116,11 @@
 	)
 	work := wire.WaitingWork{Priority: 2, FirstMS: -120, LastMS: 900, Work: 250_000}
 	reference := wire.RunRef{Task: durable.TaskID{Job: "5c0e7a21d94b36f8", Index: 3}, Run: 1}
-	request := &wire.RoomAsk{Seq: 40_000, Seen: 1 << 40}
+	request := &wire.CapacityRequest{Seq: 40_000, Seen: 1 << 40}
 	status := &wire.WorkerStatus{Stamp: 1 << 40, HeartbeatSeq: 40_000, StartSeq: 40_000, Ready: true, Free: cores(2), TimeFactor: 160, Slowness: 100}
 	bare := frame(g, status)
 	for range priorities {
-		request.Waits = append(request.Waits, wire.RoomWait{WaitingWork: work, Need: durable.Resources{CPU: 1500, Memory: 2048}, Tasks: 40})
+		request.Waits = append(request.Waits, wire.WaitingGroup{WaitingWork: work, Need: durable.Resources{CPU: 1500, Memory: 2048}, Tasks: 40})
 		status.Waiting = append(status.Waiting, work)
 	}
 	perWorker := window * coordinators / workers
--- a/jobs/runtable/capacity_test.go
+++ b/jobs/runtable/capacity_test.go
@@ -70,9 +70,9 @@
 // request has the coordinator request capacity for runs of 1,500 thousandths of a core.
 func (n *sharedWorker) request(name string, tasks uint32, virtualDeadline int64) {
 	n.seq++
-	m := &wire.RoomAsk{Seq: n.seq, Seen: n.lastStatus[name].Stamp}
+	m := &wire.CapacityRequest{Seq: n.seq, Seen: n.lastStatus[name].Stamp}
 	if tasks > 0 {
-		m.Waits = []wire.RoomWait{{WaitingWork: wire.WaitingWork{FirstMS: virtualDeadline, LastMS: virtualDeadline, Work: 90}, Need: durable.Resources{CPU: 1500}, Tasks: tasks}}
+		m.Waits = []wire.WaitingGroup{{WaitingWork: wire.WaitingWork{FirstMS: virtualDeadline, LastMS: virtualDeadline, Work: 90}, Need: durable.Resources{CPU: 1500}, Tasks: tasks}}
 	}
 	n.table.RequestCapacity(n.now, name, m)
 }
@@ -142,7 +142,7 @@
 		n := fullWorker()
 		n.endOldest()
 		n.perform()
-		n.advance(n.cfg.Room.Grant.D())
+		n.advance(n.cfg.Room.GrantTTL.D())
 		n.perform()
 		Expect(n.statusTo).To(Equal([]string{"b"}))
 		n.orderRun("b")
@@ -170,7 +170,7 @@
 		n := newSharedWorker()
 		for range 30 {
 			n.seq++
-			n.table.RequestCapacity(n.now, "b", &wire.RoomAsk{Seq: n.seq, Waits: []wire.RoomWait{{Need: durable.Resources{CPU: 4001}, Tasks: 1}}})
+			n.table.RequestCapacity(n.now, "b", &wire.CapacityRequest{Seq: n.seq, Waits: []wire.WaitingGroup{{Need: durable.Resources{CPU: 4001}, Tasks: 1}}})
 			n.renewLease(nil)
 			n.advance(10 * time.Millisecond)
 			n.perform()
@@ -223,7 +223,7 @@
 
 	It("drops requests that are not repeated", func() {
 		n := fullWorker()
-		n.advance(n.cfg.Room.Ask.D())
+		n.advance(n.cfg.Room.RequestTTL.D())
 		n.perform()
 		Expect(n.statusTo).To(Equal([]string{"a", "b", "c"}))
 	})
@@ -242,7 +242,7 @@
 				call, _ := n.table.NextRenewal(n.now)
 				n.table.RenewAnswered(n.now, call, runtable.RenewAnswer{Result: runtable.RenewConnectionRefused})
 			},
-			"silent": func(n *sharedWorker) { n.advance(n.cfg.Silence.D() + time.Millisecond) },
+			"silent": func(n *sharedWorker) { n.advance(n.cfg.SilentAfter.D() + time.Millisecond) },
 		} {
 			n := fullWorker()
 			n.endOldest()
--- a/jobs/runtable/races_test.go
+++ b/jobs/runtable/races_test.go
@@ -21,7 +21,7 @@
 // after a silence, and the order that has no answer is resent.
 func sendOrderTwice(f *fixture) (first, second runtable.StartCall) {
 	f.renewLease(nil)
-	f.advance(f.cfg.Silence.D() - 10*time.Millisecond)
+	f.advance(f.cfg.SilentAfter.D() - 10*time.Millisecond)
 	f.order(0, bestEffortRef)
 	starts := f.take().Starts
 	Expect(starts).To(HaveLen(1))
@@ -254,7 +254,7 @@
 	f.heartbeat(7)
 	f.table.QueryRuns(f.now, owner, &wire.RunsQuery{Runs: []wire.RunRef{bestEffortRef}})
 	Expect(f.renewLease(nil).Deadline).To(Equal(f.clock() + f.cfg.BackendLease.D()))
-	f.advanceRenewing(f.cfg.FirstLease.D() + f.cfg.StopGrace.D())
+	f.advanceRenewing(f.cfg.AdoptionTimeout.D() + f.cfg.StopGrace.D())
 	e := f.take()
 	Expect(e.Stops).To(BeEmpty())
 	Expect(e.Notes).NotTo(ContainElement(HaveField("What", runtable.LeaseLapsing)))
--- a/jobs/worker/worker.go
+++ b/jobs/worker/worker.go
@@ -129,7 +129,7 @@
 
 // run starts the worker's goroutines.
 func (w *Worker) run() {
-	go w.loop.Run(w.ctx.Done(), tickInterval, loop.Steps[event]{Clock: w.clock, Resumed: w.resumed, Late: w.stalled, Handle: w.handle, Tick: w.table.Tick, Perform: w.perform})
+	go w.loop.Run(w.ctx.Done(), tickInterval, loop.Steps[event]{Clock: w.clock, Resumed: w.resumed, Stalled: w.stalled, Handle: w.handle, Tick: w.table.Tick, Perform: w.perform})
 	w.peers.Serve(w.hello, handler{w})
 	go w.keepRenewing()
 	go w.keepRegistered()
@@ -149,7 +149,7 @@
 }
 
 func (w *Worker) hello() *wire.Hello {
-	return peer.Introduction(wire.RoleWorker, w.cfg.Box.Name, w.cfg.Box.DataCentre, w.name, w.peers.Advertised())
+	return peer.NewHello(wire.RoleWorker, w.cfg.Box.Name, w.cfg.Box.DataCentre, w.name, w.peers.Advertised())
 }
 
 // Reported handles a report that the backend server sent on its own, such as a heartbeat.
--- a/submissions/agent/admin.go
+++ b/submissions/agent/admin.go
@@ -35,7 +35,7 @@
 
 func startAdmin(a *Agent) (*adminServer, error) {
 	e := web.NewEcho()
-	web.Operate(e, a.registry.Handler, a.log.Level)
+	web.AddOperatorEndpoints(e, a.registry.Handler, a.log.Level)
 	e.GET("/v1/state", func(c echo.Context) error { return c.JSON(http.StatusOK, a.currentState()) })
 	e.GET("/ready", func(c echo.Context) error {
 		if s := a.currentState(); s.Leaving {
@@ -60,7 +60,7 @@
 
 // currentState reads the state in the control loop; an agent that has ended is reported as leaving.
 func (a *Agent) currentState() State {
-	s, ok := loop.Ask(a.loop, func(answer chan<- State) event { return event{kind: evState, state: answer} })
+	s, ok := loop.Call(a.loop, func(answer chan<- State) event { return event{kind: evState, state: answer} })
 	if !ok {
 		return State{Leaving: true}
 	}
--- a/submissions/agent/agent.go
+++ b/submissions/agent/agent.go
@@ -53,7 +53,7 @@
 	queue      *queue.Queue
 	claims     claim.Holder
 	links      map[queue.Link]*peer.Conn
-	leaveAcked map[queue.Link]bool // links whose entry has acknowledged that this agent leaves, and places no more tasks
+	leaveAcked map[queue.Link]bool // links whose entry has acknowledged the leave, and places no more tasks
 	byConn     map[*peer.Conn]queue.Link
 	lastLink   queue.Link
 	usage      backend.Usage
@@ -188,7 +188,7 @@
 }
 
 func (a *Agent) hello() *wire.Hello {
-	h := peer.Introduction(wire.RoleAgent, a.cfg.Box.Name, a.cfg.Box.DataCentre, a.incarnation, "")
+	h := peer.NewHello(wire.RoleAgent, a.cfg.Box.Name, a.cfg.Box.DataCentre, a.incarnation, "")
 	h.Pool = a.cfg.Backend.Pool
 	h.Slots = uint32(a.cfg.Backend.Slots)
 	h.Queue = uint32(a.cfg.Backend.Queue)
--- a/submissions/entry/links.go
+++ b/submissions/entry/links.go
@@ -27,7 +27,7 @@
 	}
 	ctx, stop := context.WithCancel(e.ctx)
 	e.links[addr] = &link{stop: stop}
-	go peer.Keep(ctx, addr, e.peerOpts, e.hello, outbound{e, addr})
+	go peer.KeepConnected(ctx, addr, e.peerOpts, e.hello, outbound{e, addr})
 }
 
 // drop closes the connection to the address and stops redialling it.
--- a/submissions/entry/state.go
+++ b/submissions/entry/state.go
@@ -35,7 +35,7 @@
 
 // requestState reads the state in the control loop; ok is false if the loop has ended.
 func (e *Entry) requestState() (s State, ok bool) {
-	return loop.Ask(e.loop, func(answer chan<- State) event { return event{kind: evState, state: answer} })
+	return loop.Call(e.loop, func(answer chan<- State) event { return event{kind: evState, state: answer} })
 }
 
 // currentState returns the entry's state; an entry that has ended is reported as stopping.
