--- a/config/scheduler.go
+++ b/config/scheduler.go
@@ -30,8 +30,10 @@
 	LazyCommit Duration `json:"lazy_commit"`
 	// CallLimit is the time after which a caller gets the answer that the outcome is unknown. It
 	// is less than the 1.3 s after which callers retry.
-	CallLimit   Duration `json:"call_limit"`
-	RetryAfter  Duration `json:"retry_after"`  // minimum of Retry-After, which has whole seconds
+	CallLimit Duration `json:"call_limit"`
+	// RetryAfter is the minimum of Retry-After in answers to refused calls. Its default of 1 s is
+	// the least time that the header can state, since its unit is a second.
+	RetryAfter  Duration `json:"retry_after"`
 	CommitRetry Duration `json:"commit_retry"` // pause after the store refused a commit
 	KeepFinal   Duration `json:"keep_final"`   // storage time of ended jobs; the users' platform determines it
 	// StateWait is how long the answer to a request for a job's state is delayed until the job
--- a/jobs/durable/record.go
+++ b/jobs/durable/record.go
@@ -31,7 +31,8 @@
 }
 
 // ProgressRecord returns the record of a job's progress. Crashes are appended only if there are
-// any, so that versions of the program that do not know of crashes can read all other records.
+// any, so that earlier versions of the program, which cannot decode crashes, can read all other
+// records.
 func ProgressRecord(id JobID, p *Progress) (Record, error) {
 	value, err := p.MarshalMsg(nil)
 	if err == nil && len(p.Crashes) > 0 {
--- a/jobs/room/events.go
+++ b/jobs/room/events.go
@@ -1,6 +1,6 @@
 package room
 
-// EventKind says what has happened.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 // The kinds of events.
--- a/lib/failure/kind.go
+++ b/lib/failure/kind.go
@@ -48,7 +48,7 @@
 	kindCount
 )
 
-// Ran says whether the work that a failure concerns was started.
+// Ran states whether the work that a failure concerns was started.
 type Ran uint8
 
 // The values of Ran. RanUnknown is the zero value, so that an unset field does not state that the
@@ -102,7 +102,7 @@
 	Kind    Kind
 	Name    string // stable name used in answers, logs and metric labels
 	Status  int    // HTTP status
-	Ran     Ran    // whether the work was started, as far as the kind alone tells
+	Ran     Ran    // whether the work was started, as far as the kind determines it
 	Retry   Retry
 	Meaning string // one sentence for the operators' documentation
 }
