--- a/jobs/promises/peers_test.go
+++ b/jobs/promises/peers_test.go
@@ -224,8 +224,9 @@
 	}
 }
 
-// handleStall records that the control goroutine handled nothing for so long. After a stall as long
-// as runs may last, the jobs that were announced before no longer count as such.
+// handleStall records that the control goroutine handled nothing for so long. After a stall of
+// RunsEndWithin or more the others take the coordinator's runs for ended, so that the jobs that it
+// announced before count as unannounced.
 func (p *peers) handleStall(now time.Time, by time.Duration) {
 	p.stalls.Add(now, by)
 	if by >= p.dedup.Settings().RunsEndWithin {
