--- a/jobs/promises/random_test.go
+++ b/jobs/promises/random_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestPowerOff kills every process at the moment at which a client is told that its job is stored,
-// three times in a case.
+// TestPowerOff kills every process at the moment at which a client gets the acknowledgement that
+// its job is stored, three times in a case.
 func TestPowerOff(t *testing.T) {
 	t.Parallel()
 	cases := min(envNumber("LICHENFALL_CASES", defaultCases/2), 200)
--- a/jobs/promises/shrinking_test.go
+++ b/jobs/promises/shrinking_test.go
@@ -11,8 +11,8 @@
 const (
 	resizes = 20
 	// shrinkGrace is the time after which a capacity that has shrunk counts: the time that the
-	// users' platform gives boxes without faults to be in touch, and the interval of a backend server's
-	// heartbeats.
+	// users' platform gives boxes without faults to be in touch, and the interval of a backend
+	// server's heartbeats.
 	shrinkGrace = 3500 * time.Millisecond
 )
 
--- a/jobs/promises/world_test.go
+++ b/jobs/promises/world_test.go
@@ -62,7 +62,7 @@
 	noFaults        bool           // no faults are injected; stricter bounds hold
 	storeTroubledAt time.Time      // when the store was last unavailable or lost answers
 	taskTime        time.Duration  // of each run; 0 for a random one of 30 to 400 ms
-	onAccept        func()         // called when a client is told that its job is stored
+	onAccept        func()         // called when a client gets the acknowledgement of a job
 	violation       string         // the first violated promise; empty if none is
 	counts          map[string]int // events by name, for the test's log
 }
