--- a/jobs/coordinator/coordinator.go
+++ b/jobs/coordinator/coordinator.go
@@ -149,7 +149,7 @@
 		links:       make(map[string]*link),
 		inbound:     newInboundConns(),
 		routes:      make(map[uint32]route),
-		dedup:       dedup.New(cfg.Copies.Core(&cfg.Scheduler)),
+		dedup:       dedup.New(cfg.Dedup.Core(&cfg.Scheduler)),
 		calls:       make(map[scheduler.Call]*call),
 		forwarded:   make(map[uint64]*call),
 		peerCounts:  make(map[string]map[string]uint32),
@@ -162,7 +162,7 @@
 // run starts the goroutines, after c.peers and c.ctx have been set.
 func (c *Coordinator) run() {
 	c.peers.Serve(c.hello, inbound{c})
-	go c.loop.Run(c.ctx.Done(), tickInterval, loop.Steps[event]{Clock: c.clock, Resumed: c.resumed, Late: c.stalled, Handle: c.handle, Tick: c.tick, Perform: c.perform})
+	go c.loop.Run(c.ctx.Done(), tickInterval, loop.Steps[event]{Clock: c.clock, Resumed: c.resumed, Stalled: c.stalled, Handle: c.handle, Tick: c.tick, Perform: c.perform})
 	go c.joinLoop()
 	go c.followMembers()
 	go c.store.WatchOperators(c.ctx, operatorsRetryPause, c.handleOperatorUpdate)
@@ -189,7 +189,7 @@
 }
 
 func (c *Coordinator) hello() *wire.Hello {
-	return peer.Introduction(wire.RoleCoordinator, c.cfg.Box.Name, c.cfg.Box.DataCentre, c.member, c.peers.Advertised())
+	return peer.NewHello(wire.RoleCoordinator, c.cfg.Box.Name, c.cfg.Box.DataCentre, c.member, c.peers.Advertised())
 }
 
 // handleOperatorUpdate applies one reading of the operators' records.
--- a/jobs/promises/coordinator_test.go
+++ b/jobs/promises/coordinator_test.go
@@ -425,7 +425,7 @@
 		}
 	}
 	if len(e.Crashes) > 0 {
-		n.sendCrashReport(&wire.CrashNews{Crashes: e.Crashes})
+		n.sendCrashReport(&wire.CrashReport{Crashes: e.Crashes})
 	}
 	for _, r := range e.Replies {
 		if call := n.calls[r.Call]; call != nil {
@@ -441,7 +441,7 @@
 }
 
 // sendCrashReport sends a report of crashes to the other coordinators that can be reached.
-func (n *coordinatorNode) sendCrashReport(m *wire.CrashNews) {
+func (n *coordinatorNode) sendCrashReport(m *wire.CrashReport) {
 	for _, o := range n.w.coordinators {
 		if o == n || !n.w.reaches(n.name, o.name) {
 			continue
--- a/jobs/promises/process_test.go
+++ b/jobs/promises/process_test.go
@@ -87,7 +87,7 @@
 	now := p.now()
 	before := p.lastHandled
 	p.lastHandled = now
-	if by := now.Sub(before) - tickInterval; !before.IsZero() && by >= loop.LateLeast {
+	if by := now.Sub(before) - tickInterval; !before.IsZero() && by >= loop.MinStall {
 		p.onStall(now, by)
 	}
 }
--- a/jobs/promises/random_test.go
+++ b/jobs/promises/random_test.go
@@ -148,7 +148,7 @@
 		{"store down", w.stopStore},
 		{"store refuses a coordinator", w.refuseCoordinator},
 		{"store loses answers", w.loseStoreAnswers},
-		{"redeal", func() { w.store.Redeal(w.now, w.random.IntN(coordinatorCount)) }},
+		{"redeal", func() { w.store.Reassign(w.now, w.random.IntN(coordinatorCount)) }},
 		{"crash backend", func() { w.crashBackend(w.random.IntN(workerCount)) }},
 		{"late orders", func() { w.delayOrders(w.random.IntN(workerCount)) }},
 		{"failing backend", func() { w.failBackend(w.random.IntN(workerCount)) }},
@@ -258,7 +258,7 @@
 	name := w.coordinators[w.random.IntN(coordinatorCount)].name
 	w.refused[name] = true
 	if w.chance(0.5) {
-		w.store.Redeal(w.now, w.random.IntN(coordinatorCount))
+		w.store.Reassign(w.now, w.random.IntN(coordinatorCount))
 	}
 	w.after(w.between(500*time.Millisecond, 6*time.Second), func() { delete(w.refused, name) })
 }
--- a/jobs/promises/world_test.go
+++ b/jobs/promises/world_test.go
@@ -33,7 +33,7 @@
 
 	cfg   *config.Scheduler
 	runs  *config.Runs
-	dedup config.Copies
+	dedup config.Dedup
 	// unguarded has backend servers start whatever they are ordered to. A start beyond the capacity
 	// of a server then violates a promise, and stops take time.
 	unguarded bool
@@ -121,7 +121,7 @@
 		cut:        make(map[link]bool),
 		cfg:        &scheduler,
 		runs:       &runs,
-		dedup:      config.DefaultCopies(),
+		dedup:      config.DefaultDedup(),
 		counts:     make(map[string]int),
 		operators:  operators{offset: 1, evacuated: make(map[string]time.Time)},
 	}
--- a/jobs/runtable/capacity.go
+++ b/jobs/runtable/capacity.go
@@ -9,7 +9,7 @@
 )
 
 // RequestCapacity handles a coordinator's list of the work that waits there for capacity.
-func (t *Table) RequestCapacity(now time.Time, conn string, m *wire.RoomAsk) {
+func (t *Table) RequestCapacity(now time.Time, conn string, m *wire.CapacityRequest) {
 	if t.owners[conn] != nil {
 		t.room.Request(now, conn, m)
 	}
--- a/jobs/runtable/coowners_test.go
+++ b/jobs/runtable/coowners_test.go
@@ -53,7 +53,7 @@
 		},
 		"crashed": func(f *fixture) { f.crash() },
 		"lapsed": func(f *fixture) {
-			f.advance(f.cfg.Silence.D() + time.Millisecond)
+			f.advance(f.cfg.SilentAfter.D() + time.Millisecond)
 			f.sendHeartbeat(owner)
 			f.sendHeartbeat(other)
 			f.advance(f.cfg.BackendLease.D())
--- a/jobs/scheduler/crashes_test.go
+++ b/jobs/scheduler/crashes_test.go
@@ -106,7 +106,7 @@
 		Expect(news).To(HaveLen(1))
 		here.core.Abandon(here.now, 1, id)
 
-		elsewhere.core.RecordCrashes(elsewhere.now, &wire.CrashNews{Crashes: news})
+		elsewhere.core.RecordCrashes(elsewhere.now, &wire.CrashReport{Crashes: news})
 		for _, f := range []*fixture{here, elsewhere} {
 			f.status("w1", 4000)
 			f.core.Submit(f.now, 2, bestEffort(1), 0)
@@ -117,7 +117,7 @@
 	It("is not started again when its best-effort job, given up for crashes, is resent within a minute", func() {
 		f := newFixture()
 		f.worker("w1")
-		f.core.RecordCrashes(f.now, &wire.CrashNews{Crashes: []wire.TaskCrash{{Task: durable.TaskID{Job: id}, Instance: "i", Begun: true, GivenUp: true}}})
+		f.core.RecordCrashes(f.now, &wire.CrashReport{Crashes: []wire.TaskCrash{{Task: durable.TaskID{Job: id}, Instance: "i", Begun: true, GivenUp: true}}})
 		f.core.Submit(f.now, 1, bestEffort(1), 0)
 		e := f.core.Take(f.now)
 		Expect(e.Replies).To(ConsistOf(HaveField("State", durable.Failed)))
--- a/lib/tcp/tcp_test.go
+++ b/lib/tcp/tcp_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestLimits holds the limits of both ends of a connection.
+// TestLimits checks the socket options at both ends of a connection.
 func TestLimits(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	defer accepted.Close()
-	if err := Limit(accepted); err != nil {
+	if err := SetTimeouts(accepted); err != nil {
 		t.Fatal(err)
 	}
 	want := map[string]int{"user timeout": 3000, "keep-alive": 1, "idle": 2, "interval": 1, "count": 2}
@@ -37,7 +37,7 @@
 	}
 }
 
-// options returns the limits as the operating system has them.
+// options returns the values of the socket options that the operating system has in force.
 func options(t *testing.T, c net.Conn) map[string]int {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
--- a/submissions/entry/control.go
+++ b/submissions/entry/control.go
@@ -19,14 +19,15 @@
 	evDown
 	evSubmit
 	evLookup
-	evGone
+	evCallerGone
 	evBoxes
 	evStop
 	evState
 	evIDs
 )
 
-// event is what the other goroutines tell the control loop.
+// event is one input of the control loop, posted by another goroutine. Which fields are set depends
+// on the kind.
 type event struct {
 	kind    eventKind
 	peer    string
@@ -56,7 +57,7 @@
 	case evUp:
 		e.linkUp(now, ev)
 	case evMessage:
-		e.core.Message(now, ev.peer, ev.message)
+		e.core.HandleMessage(now, ev.peer, ev.message)
 	case evDown:
 		e.linkDown(now, ev)
 	case evSubmit:
@@ -65,10 +66,10 @@
 	case evLookup:
 		e.callers[ev.caller] = ev.answer
 		e.core.Lookup(now, ev.caller, ev.id)
-	case evGone:
+	case evCallerGone:
 		delete(e.callers, ev.caller)
 	case evBoxes:
-		e.takeBoxes(now, ev.boxes)
+		e.applyBoxes(now, ev.boxes)
 	case evStop:
 		e.core.Stop()
 	case evIDs:
@@ -85,9 +86,9 @@
 		e.links[ev.peer] = l
 	}
 	l.conn = ev.conn
-	e.view.Connected(now, ev.peer, true)
+	e.view.SetConnected(now, ev.peer, true)
 	e.core.PeerUp(now, ev.peer, ev.hello)
-	e.core.ListLeaving(ev.peer, e.view.LeavingListed(ev.peer))
+	e.core.SetListedLeaving(ev.peer, e.view.ListedLeaving(ev.peer))
 	e.log.Info("peer connected", zap.String("peer", ev.peer), zap.String("box", ev.hello.Box))
 }
 
@@ -100,12 +101,13 @@
 	if ev.inbound() {
 		delete(e.links, ev.peer)
 	}
-	e.view.Connected(now, ev.peer, false)
+	e.view.SetConnected(now, ev.peer, false)
 	e.core.PeerDown(now, ev.peer)
 	e.log.Info("peer lost", zap.String("peer", ev.peer), zap.Error(ev.err))
 }
 
-// perform does what the core has decided.
+// perform carries out what the core has decided: it dials peers, sends messages and delivers
+// answers.
 func (e *Entry) perform(time.Time) {
 	out := e.core.Take()
 	for _, addr := range out.Dials {
@@ -113,7 +115,7 @@
 	}
 	for _, s := range out.Sends {
 		if l := e.links[s.Peer]; l != nil && l.conn != nil {
-			_ = l.conn.Send(s.Message) // when it cannot be sent, the connection is down and Down follows
+			_ = l.conn.Send(s.Message) // if sending fails, the connection is lost and Down is called
 		}
 	}
 	for _, d := range out.Deliveries {
