--- a/jobs/promises/suspended_test.go
+++ b/jobs/promises/suspended_test.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// What the cases with suspended boxes have beside the others.
+// Further constants of the cases with suspended boxes.
 const (
 	suspensions   = 6
-	suspendedMost = 6 * time.Second
+	maxSuspension = 6 * time.Second
 )
 
-// The seeds that failed once, each with its cause.
+// suspendedRegressions are seeds that failed once, each with its cause.
 var suspendedRegressions = []failedSeed{
-	{20261250, "the answer to a question about runs was held against a later run"},
-	{20261297, "an answer that the store had confirmed before a suspension was given after it"},
-	{20261351, "a superseded owner answered from memory: by a clock that had stood still, a join was young"},
+	{20261250, "the answer to a query about runs was applied to a later run"},
+	{20261297, "an answer that the store had confirmed before a suspension was sent after it"},
+	{20261351, "a superseded owner answered from memory: by a clock that had stood still, its last join was recent"},
 }
 
-// TestSuspended plays cases in which boxes are suspended for seconds, alone and among all
-// other faults. The steady clock of a process does not count that time: a lease that it
-// measures by it looks good long after it is over.
+// TestSuspended runs cases in which boxes are suspended for seconds, without other faults and with
+// all of them. The monotonic clock of a process does not count that time: a lease that the process
+// measures by it looks valid long after it has expired.
 func TestSuspended(t *testing.T) {
 	t.Parallel()
-	cases := number("LICHENFALL_CASES", fewerCases)
-	seed := number("LICHENFALL_SEED", defaultSeed)
+	cases := envNumber("LICHENFALL_CASES", fewerCases)
+	seed := envNumber("LICHENFALL_SEED", defaultSeed)
 	for _, kinds := range []int{0, allFaults} {
-		replay(t, suspendedRegressions, func(seed uint64) *world { return playSuspended(seed, kinds) })
+		replay(t, suspendedRegressions, func(seed uint64) *world { return runSuspended(seed, kinds) })
 	}
 	for _, kinds := range []int{0, allFaults} {
 		runs := 0
 		for i := range cases {
-			w := playSuspended(seed+i, kinds)
+			w := runSuspended(seed+i, kinds)
 			if w.violation != "" {
 				t.Fatalf("seed %d with %d kinds of faults: %s", seed+i, kinds, w.violation)
 			}
@@ -41,13 +41,13 @@
 	}
 }
 
-// playSuspended plays one case with suspended boxes of coordinators and workers.
-func playSuspended(seed uint64, kinds int) *world {
+// runSuspended runs one case in which boxes of coordinators and workers are suspended.
+func runSuspended(seed uint64, kinds int) *world {
 	w := newWorld(seed)
 	for range suspensions {
-		w.after(warmUp+w.between(0, troubles), func() {
+		w.after(warmUp+w.between(0, faultPhase), func() {
 			n := w.random.IntN(coordinatorCount + workerCount)
-			length := w.between(200*time.Millisecond, suspendedMost)
+			length := w.between(200*time.Millisecond, maxSuspension)
 			if n < coordinatorCount {
 				w.coordinators[n].suspendFor(length)
 				return
@@ -55,6 +55,6 @@
 			w.workers[n-coordinatorCount].suspendFor(length)
 		})
 	}
-	w.play(kinds)
+	w.runCase(kinds)
 	return w
 }
--- a/jobs/promises/unasked_test.go
+++ b/jobs/promises/unasked_test.go
@@ -7,36 +7,37 @@
 	"github.com/lichenfall/lichenfall/lib/ordered"
 )
 
-// What the cases with cancelled jobs have beside the others.
+// Further constants of the cases with cancelled jobs.
 const (
-	longJobs      = 24
-	longWork      = 40 * time.Second // of each of their runs, unless it is ended before
-	lateShare     = 0.3              // of all calls to backend servers are carried out late
-	goneFor       = time.Hour        // of a process that is removed: it never comes back
-	cancelSoonest = 200 * time.Millisecond
-	cancelLatest  = 4 * time.Second
-	// mostAfterCancel is how long after the acknowledgement of its cancel, its start or the
-	// latest removal of a process a run may still be at work: the users' platform gives the
-	// time in which calm boxes are in touch, and the time of a stop.
-	mostAfterCancel = 3*time.Second + stopGrace
+	longJobs       = 24
+	longTaskTime   = 40 * time.Second // of each run, unless it is stopped before
+	lateCallShare  = 0.3              // of the calls to backend servers that are executed late
+	removedFor     = time.Hour        // of a removed process: it never comes back
+	minCancelDelay = 200 * time.Millisecond
+	maxCancelDelay = 4 * time.Second
+	// maxRunAfterCancel is how long a run may still execute after the acknowledgement of its
+	// cancel, its start or the latest removal of a process: the time that the users' platform gives
+	// boxes without faults to be in touch, and the time of a stop.
+	maxRunAfterCancel = 3*time.Second + stopGrace
 )
 
-// The seeds that failed once, each with its cause.
+// unaskedRegressions are seeds that failed once, each with its cause.
 var unaskedRegressions = []failedSeed{
-	{20261335, "a coordinator did not stop a run that it had asked about and no longer wanted: the stop had come before the worker's successor found the run"},
+	{20261335, "a coordinator did not stop a run that it had queried and no longer needed: the stop had arrived before the worker's next incarnation found the run"},
 }
 
-// TestUnasked plays cases in which jobs of long tasks are cancelled while calls to
-// backend servers are carried out seconds late, and coordinators and workers are removed
-// for good: whatever was started, in time or late and by whomever, is soon gone.
+// TestUnasked runs cases in which jobs of long tasks are cancelled while calls to backend servers
+// are executed seconds late, and coordinators and workers are removed for good. Every run of a
+// cancelled job must end soon, whether it was started in time or late, and whichever process
+// ordered it.
 func TestUnasked(t *testing.T) {
 	t.Parallel()
-	cases := number("LICHENFALL_CASES", fewerCases)
-	seed := number("LICHENFALL_SEED", defaultSeed)
-	replay(t, unaskedRegressions, playUnasked)
+	cases := envNumber("LICHENFALL_CASES", fewerCases)
+	seed := envNumber("LICHENFALL_SEED", defaultSeed)
+	replay(t, unaskedRegressions, runUnasked)
 	cancelled, late := 0, 0
 	for i := range cases {
-		w := playUnasked(seed + i)
+		w := runUnasked(seed + i)
 		if w.violation != "" {
 			t.Fatalf("seed %d: %s", seed+i, w.violation)
 		}
@@ -46,36 +47,36 @@
 	if cancelled == 0 || late == 0 {
 		t.Fatalf("%d jobs cancelled, %d orders late", cancelled, late)
 	}
-	t.Logf("%d cases, %d jobs cancelled, %d calls carried out late", cases, cancelled, late)
+	t.Logf("%d cases, %d jobs cancelled, %d calls executed late", cases, cancelled, late)
 }
 
-func playUnasked(seed uint64) *world {
+func runUnasked(seed uint64) *world {
 	w := newWorld(seed)
-	w.longWork = longWork
+	w.taskTime = longTaskTime
 	for n := range longJobs {
 		j := newClientJob(w, n, w.chance(0.4))
 		for i := range j.submission.Steps {
-			j.submission.Steps[i].EstimateMS = longWork.Milliseconds()
+			j.submission.Steps[i].EstimateMS = longTaskTime.Milliseconds()
 		}
-		at := warmUp + w.between(0, troubles)
+		at := warmUp + w.between(0, faultPhase)
 		w.after(at, j.send)
-		w.after(at+w.between(cancelSoonest, cancelLatest), j.cancelUntilAcknowledged)
+		w.after(at+w.between(minCancelDelay, maxCancelDelay), j.cancelUntilAcknowledged)
 	}
 	for _, n := range w.workers {
-		n.backend.lateBy = lateShare
+		n.backend.lateShare = lateCallShare
 	}
 	removed := w.now
 	remove := func(kill func()) {
-		w.after(warmUp+w.between(0, troubles), func() {
+		w.after(warmUp+w.between(0, faultPhase), func() {
 			removed = w.now
 			kill()
 		})
 	}
-	remove(func() { w.killCoordinator(w.random.IntN(coordinatorCount), goneFor) })
-	remove(func() { w.killWorker(w.random.IntN(workerCount), goneFor) })
+	remove(func() { w.killCoordinator(w.random.IntN(coordinatorCount), removedFor) })
+	remove(func() { w.killWorker(w.random.IntN(workerCount), removedFor) })
 	remove(func() { w.killWorker(w.random.IntN(workerCount), w.between(50*time.Millisecond, time.Second)) })
-	for end := w.now.Add(warmUp + troubles + calm); w.now.Before(end) && w.violation == ""; {
-		w.run(askAgain / 8)
+	for end := w.now.Add(warmUp + faultPhase + recoveryPhase); w.now.Before(end) && w.violation == ""; {
+		w.run(queryInterval / 8)
 		for _, id := range ordered.Keys(w.clients) {
 			w.checkUnasked(w.clients[id], removed)
 		}
@@ -83,8 +84,8 @@
 	return w
 }
 
-// cancelUntilAcknowledged cancels a kept job until that is acknowledged. A best-effort one
-// is cancelled by its caller's leaving.
+// cancelUntilAcknowledged sends the cancel of a durable job until it is acknowledged. A best-effort
+// job is cancelled by its caller closing the connection.
 func (j *clientJob) cancelUntilAcknowledged() {
 	if j.submission.BestEffort {
 		j.done = true
@@ -102,10 +103,10 @@
 	if j.accepted {
 		j.cancel()
 	}
-	j.w.after(askAgain, j.cancelUntilAcknowledged)
+	j.w.after(queryInterval, j.cancelUntilAcknowledged)
 }
 
-// checkUnasked checks that nothing of a cancelled job runs for long.
+// checkUnasked checks that no run of a cancelled job executes for longer than maxRunAfterCancel.
 func (w *world) checkUnasked(j *clientJob, removed time.Time) {
 	if j.cancelled.IsZero() {
 		return
@@ -114,12 +115,12 @@
 		if !n.backend.up {
 			continue
 		}
-		n.backend.settle()
+		n.backend.endDueRuns()
 		for _, ref := range n.backend.refs() {
 			if ref.Task.Job == j.submission.ID {
 				since := latest(j.cancelled, removed, n.backend.running[ref].started)
-				if over := w.now.Sub(since); over > mostAfterCancel {
-					w.broken("%v run %d is at work %v after its job was cancelled, at %s", ref.Task, ref.Run, over, n.name)
+				if over := w.now.Sub(since); over > maxRunAfterCancel {
+					w.violated("%v run %d is still executing %v after its job was cancelled, at %s", ref.Task, ref.Run, over, n.name)
 				}
 			}
 		}
