--- a/jobs/runtable/calls.go
+++ b/jobs/runtable/calls.go
@@ -48,7 +48,8 @@
 	Token    uint64
 }
 
-// RenewCall renews the lease under which all runs are running, and requests the lists.
+// RenewCall renews the lease under which all runs are running, and requests the lists of runs and
+// ends.
 type RenewCall struct {
 	Instance     string // with Born, the incarnation that is meant
 	Born         int64
--- a/jobs/runtable/decisions.go
+++ b/jobs/runtable/decisions.go
@@ -27,7 +27,7 @@
 	GrantMade           Decision = "grant_made"            // capacity is reserved for a coordinator's task
 	GrantUsed           Decision = "grant_used"            // the coordinator's orders were taken
 	GrantLapsed         Decision = "grant_lapsed"          // the coordinator did not answer it in time
-	OwnerDeprioritised  Decision = "owner_set_aside"       // it left several unanswered; is served last for a while
+	OwnerDeprioritised  Decision = "owner_set_aside"       // it left several grants unanswered; served last for a while
 	// runEndPrefix and the name of a wire.End make run_crashed, run_lost, run_lapsed and
 	// run_not_run: the ends that the worker decides.
 	runEndPrefix          = "run_"
--- a/jobs/runtable/leases.go
+++ b/jobs/runtable/leases.go
@@ -18,8 +18,8 @@
 	return cmp.Or(cmp.Compare(a.partition, b.partition), cmp.Compare(a.member, b.member))
 }
 
-// unclaimed is the member of the lease of adopted best-effort runs that no coordinator has asked
-// about yet.
+// unclaimed is the member of the lease of adopted best-effort runs that no coordinator's query has
+// named yet.
 const unclaimed = "(unclaimed)"
 
 // ownerLease is a coordinator's lease on runs here.
@@ -45,7 +45,7 @@
 }
 
 // leaseOfListed returns the key of the lease of a run that an earlier process started. A
-// best-effort run is unclaimed until its coordinator asks about it.
+// best-effort run is unclaimed until its coordinator's query names it.
 func (t *Table) leaseOfListed(ref wire.RunRef) leaseKey {
 	if ref.BestEffort() {
 		return leaseKey{member: unclaimed}
@@ -57,8 +57,8 @@
 	return leaseKey{partition: ref.Task.Job.Partition(t.cfg.Partitions)}
 }
 
-// awaitClaim gives the coordinators of unclaimed runs Settings.AdoptionTimeout to ask about them,
-// counted from when the first of the runs was adopted.
+// awaitClaim gives the coordinators of unclaimed runs Settings.AdoptionTimeout to query them, counted
+// from when the first of the runs was adopted.
 func (t *Table) awaitClaim(now time.Time, key leaseKey) {
 	if !t.hasWorkUnder(key) {
 		t.leases[key] = &ownerLease{expires: now.Add(t.cfg.AdoptionTimeout), reported: true, confirmed: true}
--- a/jobs/runtable/outcomes.go
+++ b/jobs/runtable/outcomes.go
@@ -11,8 +11,8 @@
 // failureWeight is the weight of one more run in the smoothed share of failed runs.
 const failureWeight = 0.2
 
-// outcomes summarises the runs of this incarnation, of all owners together. Each owner alone
-// would learn more slowly, by the number of owners.
+// outcomes summarises the runs of this incarnation, of all owners together. Each owner alone sees
+// only its share of the runs, and would take that much longer to detect a change.
 type outcomes struct {
 	speed   *speed.Meter
 	failing float64 // smoothed share of runs that failed
@@ -52,8 +52,7 @@
 	return t.outcomes.speed.Slowness(running)
 }
 
-// measured returns whether the run's time says something about the speed of the incarnation in
-// force.
+// measured returns whether the run's time is a measure of the speed of the incarnation in force.
 func (r *run) measured() bool {
 	return r.order.EstimateMS > 0 && !r.started.IsZero() && !r.needUnknown && !r.cold && r.earlierEnd == nil
 }
--- a/jobs/runtable/owners.go
+++ b/jobs/runtable/owners.go
@@ -144,8 +144,8 @@
 	t.answerQueries(now, conn)
 }
 
-// answerQueries reports to a coordinator the state of the runs that it has asked about. It
-// becomes an owner of those that are here. Its other runs are stopped, since the query names all
+// answerQueries reports to a coordinator the state of the runs that its query names. It becomes an
+// owner of those that are here. Its other runs are stopped, since the query names all
 // that it still wants.
 func (t *Table) answerQueries(now time.Time, conn string) {
 	o := t.owners[conn]
--- a/jobs/runtable/renew.go
+++ b/jobs/runtable/renew.go
@@ -28,11 +28,11 @@
 // faults of a backend server last that long.
 const recentFailureWindow = 5 * time.Second
 
-// renewWait returns how long the next renewal may wait at the backend server for news. While an
-// unanswered renewal has not timed out, the worker receives no news. Waits are therefore short
-// while something runs and a recent call was unanswered, and the renewal after an unanswered one
-// does not wait at all. Long waits halve the renewals of a worker with twenty ends a second;
-// their cost is one long gap without news, at the first unanswered call.
+// renewWait returns how long the next renewal may wait at the backend server for an end. While an
+// unanswered renewal is not overdue, the worker receives no ends. Waits are therefore short while
+// something runs and a recent call was unanswered, and the renewal after an unanswered one does
+// not wait at all. Long waits halve the renewals of a worker with twenty ends a second; their
+// cost is one long gap without ends, at the first unanswered call.
 func (t *Table) renewWait(now time.Time) time.Duration {
 	switch {
 	case !t.synced || t.unansweredRenewals > 0:
@@ -54,8 +54,8 @@
 }
 
 // RenewOverdue records that a RenewCall had no answer within its wait and
-// Settings.RenewOverdueAfter. The answer may still arrive; the next renewal does not wait for
-// news.
+// Settings.RenewOverdueAfter. The answer may still arrive; the next renewal does not wait for an
+// end.
 func (t *Table) RenewOverdue(call RenewCall) {
 	overdue, pending := t.pendingRenewals[call.Seq]
 	if !pending || overdue {
--- a/jobs/runtable/run.go
+++ b/jobs/runtable/run.go
@@ -37,8 +37,8 @@
 	unanswered      bool     // an order had no answer and may still be carried out
 	progress        progress // as of the lists
 	endedBefore     uint64   // speed.Meter.Runs when it was started
-	// cold says that the backend server was cold when the run started, so that its time says
-	// nothing of the server's speed.
+	// cold says that the backend server was cold when the run started, so that the run's time is
+	// no measure of the server's speed.
 	cold      bool
 	straggled bool // was stopped because it exceeded its limit
 	// needUnknown says that an earlier process ordered the run and its owner has not reported
--- a/jobs/runtable/runtable.go
+++ b/jobs/runtable/runtable.go
@@ -34,7 +34,7 @@
 	// MaxBackendLease is the longest lease that the backend server grants.
 	MaxBackendLease time.Duration
 	// ShortRenewWait is how long the backend server may hold back the answer to a renewal until
-	// it has news, while something runs and a recent call had no answer. LongRenewWait applies
+	// a run has ended, while something runs and a recent call had no answer. LongRenewWait applies
 	// at all other times.
 	ShortRenewWait time.Duration
 	LongRenewWait  time.Duration
@@ -115,8 +115,8 @@
 	ownerConns uint64
 	dirty      []string // connections with a status due
 	room       *room.Table
-	// capacityShared says that coordinators request capacity, so that not everyone is sent a
-	// status when some comes free.
+	// capacityShared says that coordinators request capacity, so that only those with a grant are
+	// sent a status at once when some comes free.
 	capacityShared bool
 	recentEnds     map[wire.RunRef]recentEnd
 	// unknownStoppedAt is when runs that the table does not know were last stopped.
--- a/jobs/runtable/silence.go
+++ b/jobs/runtable/silence.go
@@ -56,7 +56,7 @@
 }
 
 // resendCalls resends the calls that had no answer during the silence. The first order of a run
-// may still be in transit, so that the refusal of one order says nothing about the other.
+// may still be in transit, so that the run may start even if the resent order is refused.
 func (t *Table) resendCalls(now time.Time) {
 	for _, ref := range t.sortedRefs() {
 		switch r := t.runs[ref]; r.state {
--- a/jobs/runtable/starts.go
+++ b/jobs/runtable/starts.go
@@ -52,7 +52,8 @@
 // refusal returns the reason for handing an order back, or "" if it is taken. An order must fit
 // now. Tasks under which backend servers have crashed run one at a time here, so that the next
 // crash shows which of them caused it. With two together neither would be blamed, and each would
-// crash one more server: one too many once all coordinators have lost their crash counts.
+// crash one more server. If all coordinators have lost their crash histories before, that is one
+// crash too many.
 func (t *Table) refusal(now time.Time, conn string, order *wire.RunOrder, key leaseKey) string {
 	switch {
 	case !t.mayOrder(now, conn, order, key):
--- a/jobs/scheduler/calls.go
+++ b/jobs/scheduler/calls.go
@@ -29,9 +29,9 @@
 }
 
 // failRetryAfter replies to a call with a failure and the time after which a retry may succeed:
-// better, 0 if that is not known, but at least Settings.RetryAfter.
-func (c *Core) failRetryAfter(call Call, id durable.JobID, kind failure.Kind, better time.Duration) {
-	c.reply(Reply{Call: call, ID: id, Failure: kind, RetryAfter: max(c.cfg.RetryAfter, better)})
+// delay, 0 if that is not known, but at least Settings.RetryAfter.
+func (c *Core) failRetryAfter(call Call, id durable.JobID, kind failure.Kind, delay time.Duration) {
+	c.reply(Reply{Call: call, ID: id, Failure: kind, RetryAfter: max(c.cfg.RetryAfter, delay)})
 	c.note(Note{What: CallFailed, Job: id, Reason: kind.String()})
 }
 
--- a/jobs/scheduler/capacityrequests.go
+++ b/jobs/scheduler/capacityrequests.go
@@ -33,7 +33,7 @@
 // capacityRequest is the state of the request to one worker, over its present connection.
 type capacityRequest struct {
 	seq         uint64              // of the newest CapacityRequest
-	seenStamp   int64               // Stamp of the newest status that the worker knows to be handled
+	seenStamp   int64               // Stamp of the status that the newest StartRuns or CapacityRequest acknowledges in Seen
 	active      bool                // the newest CapacityRequest names tasks that wait
 	at          time.Time           // when the newest CapacityRequest was sent
 	first       time.Time           // the earliest virtual deadline that it names
@@ -83,7 +83,7 @@
 	return rs != nil && len(rs.workers) > 0
 }
 
-// noteFreeCapacity records whether the worker's newest status reports capacity that was requested.
+// noteFreeCapacity marks the worker if its newest status reports capacity that was requested.
 func (c *Core) noteFreeCapacity(w *worker) {
 	if w.request.reported || !w.request.matches(w.free()) {
 		return
@@ -95,8 +95,8 @@
 
 // usable returns the part of the worker's free capacity that this coordinator may use. While this or
 // another coordinator requests capacity there, a status is used only while it is fresh, since the
-// capacity has probably been taken afterwards. Nor is it used after the worker has been notified that
-// it is handled, since the worker then grants the rest to others.
+// capacity has probably been taken afterwards. Nor is it used after a message to the worker has
+// acknowledged it (Seen), since the worker then grants the rest to others.
 func (w *worker) usable(now time.Time) durable.Resources {
 	contested := w.request.active || len(w.status.Waiting) > 0
 	if contested && (!w.fresh(now) || w.request.seenStamp == w.status.Stamp) {
@@ -136,8 +136,8 @@
 }
 
 // takeReported clears the list of workers that have reported requested capacity, and returns those
-// that got no order. An order names in Seen the status that it answers, by which the worker knows
-// that the rest of the capacity is not used.
+// that got no order. Those with an order need no other message: it acknowledges the status (Seen),
+// after which the worker grants the rest of the capacity to others.
 func (c *Core) takeReported(rs *capacityRequests, orders map[*worker]*wire.StartRuns) (unused []*worker) {
 	for _, w := range rs.reported {
 		if !w.request.reported {
@@ -229,8 +229,9 @@
 		!c.ejected(now, w) && slices.ContainsFunc(groups, w.canServe)
 }
 
-// distribute returns the groups that each worker is asked for. No group is asked for at more workers
-// than it wants: if more of them granted capacity at once, all but a few grants would go unused.
+// distribute returns, by worker, the groups that the request to it lists. A group is listed in at most
+// workersWanted requests: if more workers granted capacity at once, all but a few grants would go
+// unused.
 func (rs *capacityRequests) distribute(groups []waitingGroup) map[*worker][]waitingGroup {
 	shares := make(map[*worker][]waitingGroup, len(rs.workers))
 	for _, g := range groups {
--- a/jobs/scheduler/commits.go
+++ b/jobs/scheduler/commits.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// Committed takes the result of the commit that is in flight for the partition. Unless that is
+// Committed handles the result of the commit that is in flight for the partition. Unless that is
 // CommitOK or CommitRefused the partition is released. A result for another epoch is ignored.
 func (c *Core) Committed(now time.Time, number uint32, epoch uint64, result CommitResult) {
 	p := c.partitions[number]
--- a/jobs/scheduler/decisions.go
+++ b/jobs/scheduler/decisions.go
@@ -11,7 +11,7 @@
 	CallFailed          Decision = "call_failed"           // a call was answered with a failure
 	JobKept             Decision = "job_kept"              // the submission is in the store
 	CopyJoined          Decision = "copy_joined"           // a best-effort job came again; the call waits for its end
-	JobRefused          Decision = "job_refused"           // on arrival: it would wait too long, or too many jobs are here
+	JobRefused          Decision = "job_refused"           // on arrival: no worker, too long a wait, or too many jobs
 	JobGivenUp          Decision = "job_given_up"          // refused after it was admitted, before it began
 	RefusalBesideRoom   Decision = "refusal_beside_room"   // a fault: a job was to be refused though it fits; it was not
 	RunOrdered          Decision = "run_ordered"           // sent to a worker
--- a/jobs/scheduler/dispatch.go
+++ b/jobs/scheduler/dispatch.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// dispatchHeap orders runs of the heap's tasks in their order, and returns whether it ordered all.
+// dispatchHeap takes tasks off the heap one by one, orders a run of each that can be placed now, and
+// returns whether none is left.
 func (c *Core) dispatchHeap(now time.Time, q *taskHeap, r *round, orders map[*worker]*wire.StartRuns) bool {
 	var skipped, held []*task
 	for q.Len() > 0 && len(skipped) < lookAhead {
@@ -146,7 +147,7 @@
 	}
 }
 
-// stop tells the worker to stop the task's run, if the worker is connected.
+// stop sends the worker an order to stop the task's run, if the worker is connected.
 func (c *Core) stop(t *task) {
 	if t.worker.up {
 		c.send(t.worker.name, &wire.StopRuns{Runs: []wire.RunRef{t.ref()}})
--- a/jobs/scheduler/evacuations.go
+++ b/jobs/scheduler/evacuations.go
@@ -13,7 +13,7 @@
 // store, and returns whether the set has changed. A reading older than the last is ignored.
 // Before the first reading no tasks are ordered. While the store cannot be read the last reading
 // stays in force: to stop serving in each outage of the store would cost far more than a late
-// evacuation, and workers learn of a newer one from other coordinators.
+// evacuation, and workers receive a newer reading from other coordinators.
 func (c *Core) Evacuate(now time.Time, e routing.Evacuations) (changed bool) {
 	if e.Offset < c.evacuations.Offset {
 		return false
@@ -66,7 +66,8 @@
 }
 
 // announceEvacuations sends the evacuations to all workers at once, ahead of the next regular
-// heartbeat. A worker that has them decides about orders that are still on their way to it.
+// heartbeat. A worker in an evacuated data centre then hands back the orders that are still on their
+// way to it.
 func (c *Core) announceEvacuations(now time.Time) {
 	for _, w := range c.allWorkers {
 		c.heartbeat(now, w)
--- a/jobs/scheduler/forecast.go
+++ b/jobs/scheduler/forecast.go
@@ -37,8 +37,8 @@
 // evenShare returns this coordinator's even share of the cores, in thousandths.
 func (s *supply) evenShare() float64 { return s.cores * s.scale / s.sharers }
 
-// coresOf returns the worker's cores in thousandths, as the number that servers of usual speed would
-// need for the same work.
+// coresOf returns the worker's cores in thousandths, weighted by its speed: how many cores would do the
+// same work if runs took exactly their estimates.
 func (c *Core) coresOf(w *worker) float64 {
 	cores := float64(w.identity.Capacity.CPU)
 	if c.cfg.Load.PlaceBySpeed {
--- a/jobs/scheduler/giveup.go
+++ b/jobs/scheduler/giveup.go
@@ -185,7 +185,8 @@
 	return tasks
 }
 
-// refuseUnstarted refuses an admitted job that has not begun, and tells its callers that it has not run.
+// refuseUnstarted removes an admitted job that has not begun. Its callers get the failure Overloaded: no
+// task has run, and they may submit the job again. f is the forecast that led to the refusal, or nil.
 func (c *Core) refuseUnstarted(now time.Time, j *job, why string, f *Forecast) {
 	c.retractAdmitted(now, j)
 	c.note(Note{What: JobGivenUp, Job: j.id, Reason: why, Measure: JobAgeMS, Value: j.age(now), Forecast: f})
--- a/jobs/scheduler/job.go
+++ b/jobs/scheduler/job.go
@@ -20,7 +20,7 @@
 	class    int           // priority class; 0 is the most urgent
 	tasks    []task
 	left     int   // number of tasks that are not done
-	stepLeft []int // the same, by step
+	stepLeft []int // number of tasks that are not done, by step
 
 	received     time.Time
 	sent         time.Time     // earliest time at which the caller may first have sent it
--- a/jobs/scheduler/lookups.go
+++ b/jobs/scheduler/lookups.go
@@ -8,7 +8,7 @@
 )
 
 // pendingLookup is a call about a job that is not here. Another coordinator may have become the
-// owner of the partition and have stored the job, without our lease showing it. So the call is
+// owner of the partition and have stored the job while our lease still seems valid. So the call is
 // answered with JobNotFound only once the store has confirmed that this coordinator still owned
 // the partition after the call arrived.
 type pendingLookup struct {
--- a/jobs/scheduler/order.go
+++ b/jobs/scheduler/order.go
@@ -6,11 +6,13 @@
 // sort key: nothing ends when it passes.
 
 // delayPerClass is added to the virtual deadlines of a job for each class that is more urgent than
-// its own. A job may be expected to wait for up to half of its slack: 300 ms for a job of 900 ms.
+// its own. It is as long as a job of 900 ms may be expected to wait and still be admitted
+// (maxWaitShare).
 const delayPerClass = 300 * time.Millisecond
 
 // lastClass is the class of all queues with this priority or a later one. It bounds the delay of a
-// job to lastClass times delayPerClass.
+// job to lastClass times delayPerClass, and so the time for which arrivals of more urgent classes
+// may precede it.
 const lastClass = 3
 
 // Classes is the number of classes.
--- a/jobs/scheduler/outliers.go
+++ b/jobs/scheduler/outliers.go
@@ -12,8 +12,8 @@
 	probeEvery       = time.Second // interval of the tasks that an outlier gets from all coordinators together
 )
 
-// slowness returns how long the worker's latest runs take, in percent of what is usual on that
-// worker; in percent of their estimates where all servers are taken to be equally fast.
+// slowness returns how long the worker's latest runs take, in percent of the baseline of that worker;
+// in percent of their estimates where all servers are taken to be equally fast.
 func (w *worker) slowness() float64 {
 	slowness := float64(w.status.Slowness)
 	if w.status.Slowness == 0 {
@@ -42,7 +42,7 @@
 func (w *worker) failing() float64 { return float64(w.status.Failing) / 100 }
 
 // detectOutlier updates whether the worker is an outlier, and logs a change. An outlier's runs take
-// far longer than is usual there while those of its peers do not, or too many of them fail.
+// far longer than its baseline while those of its peers do not, or too many of them fail.
 func (c *Core) detectOutlier(now time.Time, w *worker, median float64) {
 	bound := w.slownessBound(median)
 	outlier := w.slowness() >= bound || w.status.Failing >= outlierFailing
--- a/jobs/scheduler/partition.go
+++ b/jobs/scheduler/partition.go
@@ -42,7 +42,8 @@
 }
 
 // Acquire adds a partition that this coordinator now owns under the epoch, with all that the store
-// holds of it. Its open jobs go on once every worker has reported what it runs of the partition.
+// holds of it. Its open jobs go on once every worker has reported what it runs of the partition, or
+// the leases of its runs have certainly expired.
 func (c *Core) Acquire(now time.Time, number uint32, epoch uint64, stored map[durable.JobID]*durable.Stored) {
 	p := &partition{
 		number:   number,
--- a/jobs/scheduler/preference.go
+++ b/jobs/scheduler/preference.go
@@ -1,7 +1,7 @@
 package scheduler
 
 // Preference says whether new tasks go to a worker. Other coordinators prefer other workers, so a
-// coordinator knows the free capacity of those that it prefers best.
+// coordinator knows best how much capacity is free on the workers that it prefers.
 type Preference uint8
 
 // The preferences.
--- a/jobs/scheduler/recentwork.go
+++ b/jobs/scheduler/recentwork.go
@@ -92,9 +92,9 @@
 	r.admitted = max(0, r.admitted-j.work()*decay(now.Sub(j.received)))
 }
 
-// The least share of its offered work that a class should have admitted, as a part of the same share
-// of the class for which it is highest. It is nearly that for the last class and a little more for
-// each class before it.
+// Of each class at least a certain share of its offered work should be admitted. This least share is a
+// multiple of the highest admitted share of any class: somewhat less than one for the last class, and
+// a little more for each class before it.
 const (
 	minShareOfBest = 0.9  // for the last class
 	minShareStep   = 0.05 // added for each class before it
--- a/jobs/scheduler/reports.go
+++ b/jobs/scheduler/reports.go
@@ -76,9 +76,9 @@
 	}
 }
 
-// sendNeeds sends a worker the resource needs of those listed runs that are ours. A worker that
-// found the runs at its backend server when its process started doesn't know what they need, and
-// starts no other runs until it does.
+// sendNeeds sends a worker the resource needs of those listed runs that are ours. A worker process
+// that has adopted runs of an earlier process has no record of their needs, and starts no other
+// runs until it has received them.
 func (c *Core) sendNeeds(w *worker, listed []wire.RunRef) {
 	m := &wire.RunNeeds{}
 	for _, ref := range listed {
@@ -120,9 +120,9 @@
 }
 
 // handleQueryReply handles the reply to queryRuns. A run that the worker doesn't know will never
-// run, and its task is queued again. A run that is no longer wanted is stopped once more: an
-// earlier stop had no effect if it came before the worker found the run, which an earlier
-// process there had started, and from now on our lease would keep the run alive.
+// run, and its task is queued again. A run that is no longer wanted is stopped once more. If an
+// earlier process of the worker started it, a stop that arrived before the present process adopted
+// it had no effect, and from now on our lease would keep the run alive.
 func (c *Core) handleQueryReply(now time.Time, w *worker, m *wire.PartitionRuns) {
 	known := make(map[wire.RunRef]bool, len(m.Running)+len(m.Ended))
 	for _, ref := range m.Running {
--- a/jobs/scheduler/scheduler.go
+++ b/jobs/scheduler/scheduler.go
@@ -5,8 +5,8 @@
 // The end of one of its runs is acknowledged to the worker once the job's progress is in the
 // store, and a final state is shown to callers once that is. The store doesn't hold what is
 // running: that is known only at the workers, so a new owner of a partition starts no tasks of
-// its stored jobs before all workers have reported what they run, or their leases have certainly
-// expired. A best-effort job is never stored, and lives as long as a caller waits for its end.
+// its stored jobs before each worker has reported what it runs, or the leases of its runs have
+// certainly expired. A best-effort job is never stored, and lives as long as a caller waits for its end.
 //
 // The package owns the jobs of the partitions that this coordinator owns, the best-effort jobs
 // submitted to it, and its view of each worker. It relies on its caller for the time, for
@@ -37,7 +37,7 @@
 	CommitGap          time.Duration // minimum time between two commits of a partition
 	LazyCommit         time.Duration // longest delay of a commit of ends that no caller waits for
 	CallLimit          time.Duration // longest wait of a call for the store; its outcome is unknown then
-	RetryAfter         time.Duration // least time after which refused callers are told to retry
+	RetryAfter         time.Duration // minimum of Reply.RetryAfter for calls that fail
 	CommitRetry        time.Duration // pause of a partition's commits after the store refused one
 	KeepFinal          time.Duration // how long final states stay in the store
 	StateWait          time.Duration // longest wait of a State call for a job's end
@@ -60,7 +60,7 @@
 	crashHistories map[durable.JobID]*crashHistory
 	active         int                                // jobs that are not final
 	callers        map[Call]waitingCall               // calls that wait for the store
-	outstanding    map[durable.JobID]*outstandingRuns // best-effort jobs that are over, but maybe not their runs
+	outstanding    map[durable.JobID]*outstandingRuns // best-effort jobs that are over while runs of them may still be at work
 	watched        map[*job]struct{}                  // jobs with watchers
 	pendingLookups []pendingLookup                    // calls about jobs that are not here
 	// confirmedAt is when the last join that the store answered was sent: our ownership of the
@@ -76,11 +76,11 @@
 	sharers    map[string]float64           // by service: coordinators that share each worker, including this one
 	demands    map[string]*demand           // by service
 	requests   map[string]*capacityRequests // for capacity, by service
-	servedAt   time.Time                    // last time at which a worker took tasks
+	servedAt   time.Time                    // last time at which some worker was taking tasks
 
 	evacuations   routing.Evacuations  // last reading from the store
 	evacuationsAt time.Time            // when they were last read; zero before the first reading
-	evacuatedAt   map[string]time.Time // by data centre: when this coordinator learned of it
+	evacuatedAt   map[string]time.Time // by data centre: when this coordinator first read of its evacuation
 	refusals      map[string]*refusals // recent ones, by queue
 
 	// Admission while not all jobs fit.
--- a/jobs/scheduler/task.go
+++ b/jobs/scheduler/task.go
@@ -13,7 +13,7 @@
 type taskState uint8
 
 const (
-	taskBlocked  taskState = iota // waits for earlier steps, for reports of workers, or for news of silent servers
+	taskBlocked  taskState = iota // waits for earlier steps, for reports of workers, or while it is suspended
 	taskReady                     // waits for a worker
 	taskAssigned                  // with a worker
 	taskDone
--- a/jobs/scheduler/view.go
+++ b/jobs/scheduler/view.go
@@ -50,7 +50,7 @@
 // EvacuationView is an evacuated data centre, for operators.
 type EvacuationView struct {
 	DataCentre string    `json:"data_centre"`
-	Since      time.Time `json:"since"` // when this coordinator learned of it
+	Since      time.Time `json:"since"` // when this coordinator first read of its evacuation
 	Runs       int       `json:"runs"`  // of this coordinator that have still to end there
 }
 
--- a/jobs/scheduler/waits.go
+++ b/jobs/scheduler/waits.go
@@ -14,7 +14,7 @@
 type waitingGroup struct {
 	groupKey
 	first    *task
-	from, to time.Time         // earliest and latest virtual deadline, as workers get them
+	from, to time.Time         // earliest and latest virtual deadline, as capacity requests name them
 	need     durable.Resources // maximum over the tasks
 	tasks    int
 	work     float64 // thousandths of a core times nanoseconds
--- a/jobs/scheduler/workers.go
+++ b/jobs/scheduler/workers.go
@@ -105,8 +105,8 @@
 }
 
 // Status handles a worker's status. The first one over a connection is answered with a heartbeat
-// and a query for the runs that were ordered over earlier connections; it also asks the caller
-// to have the store confirm our ownership.
+// and a query for the runs that were ordered over earlier connections. If this coordinator owns
+// partitions, the first one also sets Effects.Confirm.
 func (c *Core) Status(now time.Time, name string, m *wire.WorkerStatus) {
 	w := c.workers[name]
 	if w == nil || !w.up {
