--- a/jobs/runtable/adopted_test.go
+++ b/jobs/runtable/adopted_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// TestUnclaimedRunsAreStopped starts a worker beside a run that no coordinator asks about. The
+// TestUnclaimedRunsAreStopped starts a worker beside a run that no coordinator queries. The
 // run is stopped, and its capacity is used again once its end is listed.
 func TestUnclaimedRunsAreStopped(t *testing.T) {
 	RegisterTestingT(t)
--- a/jobs/runtable/crash_test.go
+++ b/jobs/runtable/crash_test.go
@@ -11,8 +11,8 @@
 	"github.com/lichenfall/lichenfall/wire"
 )
 
-// orderSuspects orders one run for each number of crashes, which its task has caused before. The
-// first starts, as many as answered says, are accepted.
+// orderSuspects orders one run for each entry of crashes, the number of earlier crashes under its
+// task, and accepts the first starts, answered in number.
 func (f *fixture) orderSuspects(answered int, crashes ...uint32) {
 	m := &wire.StartRuns{Seq: f.seq}
 	for i, n := range crashes {
--- a/jobs/runtable/queries_test.go
+++ b/jobs/runtable/queries_test.go
@@ -9,7 +9,7 @@
 )
 
 // A coordinator that gives up a best-effort job while its connection is lost cannot send a stop,
-// and does not ask about the run later. Its heartbeats on the next connection would keep the run
+// and does not query the run later. Its heartbeats on the next connection would keep the run
 // alive until its end, so a query stops the runs that it does not name.
 var _ = Describe("a query about best-effort runs", func() {
 	It("stops the runs that it does not name", func() {
--- a/jobs/runtable/races_test.go
+++ b/jobs/runtable/races_test.go
@@ -34,7 +34,7 @@
 
 // TestRefusedDuplicateOrder guards against reporting a run as not run because one duplicate of
 // its order was refused, while the other is still in transit. That one starts a run which the
-// table does not know.
+// table does not have.
 func TestRefusedDuplicateOrder(t *testing.T) {
 	for _, refusal := range []runtable.StartResult{runtable.StartNoRoom, runtable.StartUnhealthy, runtable.StartLeaseExpired, runtable.StartConnectionRefused} {
 		for _, firstIsRefused := range []bool{true, false} {
@@ -213,7 +213,7 @@
 }
 
 // TestAdoptedRunThatCannotBeStopped guards against renewing the lease for ever under a run that
-// an earlier process ordered, that no coordinator asks about, and that no stop reaches.
+// an earlier process ordered, that no coordinator queries, and that no stop reaches.
 func TestAdoptedRunThatCannotBeStopped(t *testing.T) {
 	RegisterTestingT(t)
 	f := newFixture()
@@ -227,8 +227,8 @@
 	}
 }
 
-// TestAdoptedRunOutlivesNoWriteOff guards against a new process that keeps a run alive after an
-// owner has written it off, whose last heartbeat came before the earlier process ended.
+// TestAdoptedRunOutlivesNoWriteOff guards against a new process that keeps a run alive after the
+// run's owner has written it off. The owner's last heartbeat came before the earlier process ended.
 func TestAdoptedRunOutlivesNoWriteOff(t *testing.T) {
 	RegisterTestingT(t)
 	f := newFixture()
@@ -299,7 +299,7 @@
 }
 
 // TestUnknownRunIsStopped guards against a best-effort run that continues because the backend
-// server lists it and the table does not know it: nothing would end it.
+// server lists it and the table does not have it: nothing would end it.
 func TestUnknownRunIsStopped(t *testing.T) {
 	RegisterTestingT(t)
 	f := newFixture().ready()
--- a/jobs/scheduler/calls.go
+++ b/jobs/scheduler/calls.go
@@ -86,7 +86,7 @@
 	return p, j
 }
 
-// Submit takes a job. A durable job is acknowledged once it is in the store; the reply for a
+// Submit handles the submission of a job. A durable job is acknowledged once it is in the store; the reply for a
 // best-effort job is sent when the job ends. budget is how long the caller waits, 0 if unknown.
 func (c *Core) Submit(now time.Time, call Call, s *durable.Submission, budget time.Duration) {
 	if s.BestEffort {
--- a/jobs/scheduler/decisions.go
+++ b/jobs/scheduler/decisions.go
@@ -17,7 +17,7 @@
 	RunOrdered          Decision = "run_ordered"           // sent to a worker
 	TaskHeld            Decision = "task_held"             // waits for a faster worker; it would be late at the free ones
 	RunEnded            Decision = "run_ended"             // reported by its worker
-	RunAbsent           Decision = "run_absent"            // the worker doesn't know the run, which never began there
+	RunAbsent           Decision = "run_absent"            // missing from its worker's report: it is not running there
 	RunWrittenOff       Decision = "run_written_off"       // its worker is unreachable, its lease has certainly expired
 	RunTakenOver        Decision = "run_taken_over"        // a worker has the run, started by an earlier owner
 	WorkerUp            Decision = "worker_up"             // connected
--- a/jobs/scheduler/demand.go
+++ b/jobs/scheduler/demand.go
@@ -53,7 +53,7 @@
 }
 
 // WorkersWanted returns how many workers of the service this coordinator wants to be connected
-// to. all asks for as many as possible: dispatch could not place all tasks recently, or no
+// to. all means as many as possible: dispatch could not place all tasks recently, or no
 // capacity is known yet. Each connection costs five heartbeats a second and their answers, so a
 // coordinator with little demand keeps few.
 func (c *Core) WorkersWanted(now time.Time, service string) (n int, all bool) {
--- a/jobs/scheduler/effects.go
+++ b/jobs/scheduler/effects.go
@@ -45,7 +45,7 @@
 	RetryAfter time.Duration
 }
 
-// Commit asks for records to be appended to the store, all or none, under the epoch. Each
+// Commit is a request to append records to the store, all or none, under the epoch. Each
 // partition has at most one commit in flight.
 type Commit struct {
 	Partition uint32
--- a/jobs/scheduler/expected.go
+++ b/jobs/scheduler/expected.go
@@ -50,8 +50,8 @@
 	return e.estimateAt(cand.w) * cand.factor
 }
 
-// total returns how long the task is expected to take on the candidate, with the repetition of the
-// share of runs that fail there.
+// total returns how long the task is expected to take on the candidate: one run, and a second one for
+// the share of runs that fail there.
 func (e *evaluator) total(cand *candidate) float64 { return e.expected(cand) * (1 + cand.w.failing()) }
 
 // safetyFactor times the expected total has to remain for a task to be at no risk: the times of runs
--- a/jobs/scheduler/loadplay_test.go
+++ b/jobs/scheduler/loadplay_test.go
@@ -369,7 +369,7 @@
 	}
 }
 
-// evacuate evacuates the data centre: all coordinators and workers learn it at once.
+// evacuate evacuates the data centre: all coordinators and workers are informed at once.
 func (p *loadSim) evacuate(dataCentre string) {
 	p.evacuated = dataCentre
 	for _, k := range p.cores {
--- a/jobs/scheduler/ready.go
+++ b/jobs/scheduler/ready.go
@@ -97,7 +97,7 @@
 }
 
 // enqueue queues the task for a worker. The task stays blocked while its job is being reconciled, and is
-// suspended while it waits to learn whether silent backend servers have crashed.
+// suspended until it is known whether silent backend servers have crashed.
 func (c *Core) enqueue(now time.Time, t *task) {
 	if t.job.state.Final() || t.position >= 0 {
 		return
--- a/jobs/scheduler/reports.go
+++ b/jobs/scheduler/reports.go
@@ -104,7 +104,7 @@
 	return t
 }
 
-// queryRuns asks a worker for the state of the best-effort runs that were ordered over earlier
+// queryRuns requests from a worker the state of the best-effort runs that were ordered over earlier
 // connections. The query lists all runs that are still wanted, and is sent even if there are
 // none: the worker stops the others.
 func (c *Core) queryRuns(w *worker) {
@@ -119,8 +119,8 @@
 	c.send(w.name, m)
 }
 
-// handleQueryReply handles the reply to queryRuns. A run that the worker doesn't know will never
-// run, and its task is queued again. A run that is no longer wanted is stopped once more. If an
+// handleQueryReply handles the reply to queryRuns. A run that is missing from it is over or never
+// began, and its task is queued again. A run that is no longer wanted is stopped once more. If an
 // earlier process of the worker started it, a stop that arrived before the present process adopted
 // it had no effect, and from now on our lease would keep the run alive.
 func (c *Core) handleQueryReply(now time.Time, w *worker, m *wire.PartitionRuns) {
--- a/jobs/scheduler/silences.go
+++ b/jobs/scheduler/silences.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// suspended returns whether the task waits to learn whether silent servers have crashed. It forgets
-// silences that are older than silenceWait.
+// suspended returns whether the task waits until it is known whether silent servers have crashed. It
+// forgets silences that are older than silenceWait.
 func (t *task) suspended(now time.Time) bool {
 	t.silences = slices.DeleteFunc(t.silences, func(s silence) bool { return now.Sub(s.at) >= silenceWait })
 	return len(t.silences) > 0 && len(t.silences)+len(t.crashes) >= minSilences
--- a/jobs/scheduler/workers.go
+++ b/jobs/scheduler/workers.go
@@ -34,7 +34,7 @@
 }
 
 // queriedRun is a run that a RunsQuery listed. By the time of the reply its task may have a later
-// run at the worker, about which the reply says nothing.
+// run at the worker, which the reply does not cover.
 type queriedRun struct {
 	task *task
 	ref  wire.RunRef
