--- a/jobs/promises/sharedroom_test.go
+++ b/jobs/promises/sharedroom_test.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// What the cases with bursts have beside the others: more jobs at one moment than there is room
-// for, by seconds of all servers' work, while processes die, pause and are cut off.
+// Further constants of the cases with bursts: more jobs at one moment than the servers have
+// capacity for, by several seconds of the work of all of them, while processes die, pause and are
+// cut off.
 const (
-	bursts      = 4
-	burstJobs   = 60
-	burstLeast  = 3 * time.Second // between two bursts, so that room is short most of the time
-	burstKills  = 6               // of coordinators that may hold grants, and of workers that are asked
-	burstPauses = 4
+	bursts        = 4
+	burstJobs     = 60
+	burstInterval = 3 * time.Second // from one burst to the next, so that capacity is short most of the time
+	burstKills    = 6               // of coordinators, which may hold grants, and of workers, which have their requests
+	burstPauses   = 4
 )
 
-// TestSharedRoom plays cases in which room is short and coordinators ask for it: whatever
-// becomes of asks and grants, no task starts twice, none beyond a server's capacity, and all
-// that was accepted ends.
+// TestSharedRoom runs cases in which capacity is short and coordinators request it. Whatever
+// happens to requests and grants, no task has two runs at once, none starts beyond a server's
+// capacity, and all accepted jobs end.
 func TestSharedRoom(t *testing.T) {
 	t.Parallel()
-	cases := number("LICHENFALL_CASES", fewerCases)
-	seed := number("LICHENFALL_SEED", defaultSeed)
+	cases := envNumber("LICHENFALL_CASES", fewerCases)
+	seed := envNumber("LICHENFALL_SEED", defaultSeed)
 	for _, unguarded := range []bool{false, true} {
 		counts := make(map[string]int)
 		for i := range cases {
-			w := playSharedRoom(seed+i, unguarded)
+			w := runSharedRoom(seed+i, unguarded)
 			if w.violation != "" {
 				t.Fatalf("seed %d, unguarded servers %t: %s", seed+i, unguarded, w.violation)
 			}
@@ -33,21 +34,21 @@
 				counts[name] += n
 			}
 		}
-		for _, name := range []string{"asks for room", "grants", "grants lapsed", "completed"} {
+		for _, name := range []string{"capacity requests", "grants", "grants lapsed", "completed"} {
 			if counts[name] == 0 {
 				t.Errorf("unguarded servers %t: no %s", unguarded, name)
 			}
 		}
-		t.Logf("unguarded servers %t: %d cases, %d asks, %d grants, %d of them lapsed, %d jobs refused", unguarded, cases,
-			counts["asks for room"], counts["grants"], counts["grants lapsed"], counts["refused"])
+		t.Logf("unguarded servers %t: %d cases, %d capacity requests, %d grants, %d of them lapsed, %d jobs refused", unguarded, cases,
+			counts["capacity requests"], counts["grants"], counts["grants lapsed"], counts["refused"])
 	}
 }
 
-func playSharedRoom(seed uint64, unguarded bool) *world {
+func runSharedRoom(seed uint64, unguarded bool) *world {
 	w := newWorld(seed)
 	w.unguarded = unguarded
 	for i := range bursts {
-		at := warmUp + time.Duration(i)*burstLeast + w.between(0, time.Second)
+		at := warmUp + time.Duration(i)*burstInterval + w.between(0, time.Second)
 		for n := range burstJobs {
 			j := newClientJob(w, jobsInCase+i*burstJobs+n, w.chance(0.6))
 			j.submission.Queue.Priority = int32(n % 3)
@@ -55,19 +56,19 @@
 		}
 	}
 	for range burstKills {
-		w.after(warmUp+w.between(0, troubles), func() {
+		w.after(warmUp+w.between(0, faultPhase), func() {
 			w.killCoordinator(w.random.IntN(coordinatorCount), w.between(50*time.Millisecond, time.Second))
 		})
-		w.after(warmUp+w.between(0, troubles), func() {
+		w.after(warmUp+w.between(0, faultPhase), func() {
 			w.killWorker(w.random.IntN(workerCount), w.between(20*time.Millisecond, time.Second))
 		})
 	}
 	for range burstPauses {
-		w.after(warmUp+w.between(0, troubles), func() {
+		w.after(warmUp+w.between(0, faultPhase), func() {
 			w.pauseFor(&w.coordinators[w.random.IntN(coordinatorCount)].process)
 		})
-		w.after(warmUp+w.between(0, troubles), w.cutSome)
+		w.after(warmUp+w.between(0, faultPhase), w.cutProcess)
 	}
-	w.play(allFaults)
+	w.runCase(allFaults)
 	return w
 }
--- a/jobs/promises/shrinking_test.go
+++ b/jobs/promises/shrinking_test.go
@@ -7,31 +7,32 @@
 	"github.com/lichenfall/lichenfall/jobs/durable"
 )
 
-// What the cases with changing capacities have beside the others.
+// Further constants of the cases with changing capacities.
 const (
 	resizes = 20
-	// shrinkGrace is after how long a capacity that has shrunk counts: the users' platform
-	// gives the time in which calm boxes are in touch, and a heartbeat of a backend server.
+	// shrinkGrace is the time after which a capacity that has shrunk counts: the time that the
+	// users' platform gives boxes without faults to be in touch, and the interval of a backend
+	// server's heartbeats.
 	shrinkGrace = 3500 * time.Millisecond
 )
 
-// TestShrinkingRoom plays cases in which the capacities of backend servers that start
-// whatever they are told to shrink and grow while tasks run there.
+// TestShrinkingRoom runs cases in which the capacities of backend servers shrink and grow while
+// tasks run there. The servers start whatever they are ordered to.
 func TestShrinkingRoom(t *testing.T) {
 	t.Parallel()
-	cases := number("LICHENFALL_CASES", fewerCases)
-	seed := number("LICHENFALL_SEED", defaultSeed)
+	cases := envNumber("LICHENFALL_CASES", fewerCases)
+	seed := envNumber("LICHENFALL_SEED", defaultSeed)
 	runs := 0
 	for i := range cases {
 		w := newWorld(seed + i)
 		w.unguarded = true
 		for range resizes {
-			w.after(warmUp+w.between(0, troubles), w.resizeOne)
+			w.after(warmUp+w.between(0, faultPhase), w.resizeOne)
 		}
-		for n := range moreJobs {
-			w.after(warmUp+w.between(0, troubles), newClientJob(w, jobsInCase+n, w.chance(0.7)).send)
+		for n := range unguardedJobs {
+			w.after(warmUp+w.between(0, faultPhase), newClientJob(w, jobsInCase+n, w.chance(0.7)).send)
 		}
-		w.play(allFaults)
+		w.runCase(allFaults)
 		if w.violation != "" {
 			t.Fatalf("seed %d: %s", seed+i, w.violation)
 		}
@@ -40,8 +41,8 @@
 	t.Logf("%d cases, %d runs, none beyond a server's capacity", cases, runs)
 }
 
-// resizeOne changes the capacity of a backend server: for some seconds to less, down to
-// what no task fits into.
+// resizeOne reduces the capacity of a backend server for some seconds, possibly to less than any
+// task needs.
 func (w *world) resizeOne() {
 	b := w.workers[w.random.IntN(workerCount)].backend
 	full := durable.Resources{CPU: 8000, Memory: 8000}
