--- a/jobs/scheduler/calls.go
+++ b/jobs/scheduler/calls.go
@@ -29,9 +29,9 @@
 }
 
 // failRetryAfter replies to a call with a failure and the time after which a retry may succeed:
-// better, 0 if that is not known, but at least Settings.RetryAfter.
-func (c *Core) failRetryAfter(call Call, id durable.JobID, kind failure.Kind, better time.Duration) {
-	c.reply(Reply{Call: call, ID: id, Failure: kind, RetryAfter: max(c.cfg.RetryAfter, better)})
+// delay, 0 if that is not known, but at least Settings.RetryAfter.
+func (c *Core) failRetryAfter(call Call, id durable.JobID, kind failure.Kind, delay time.Duration) {
+	c.reply(Reply{Call: call, ID: id, Failure: kind, RetryAfter: max(c.cfg.RetryAfter, delay)})
 	c.note(Note{What: CallFailed, Job: id, Reason: kind.String()})
 }
 
@@ -86,7 +86,7 @@
 	return p, j
 }
 
-// Submit takes a job. A durable job is acknowledged once it is in the store; the reply for a
+// Submit handles the submission of a job. A durable job is acknowledged once it is in the store; the reply for a
 // best-effort job is sent when the job ends. budget is how long the caller waits, 0 if unknown.
 func (c *Core) Submit(now time.Time, call Call, s *durable.Submission, budget time.Duration) {
 	if s.BestEffort {
--- a/jobs/scheduler/decisions.go
+++ b/jobs/scheduler/decisions.go
@@ -11,13 +11,13 @@
 	CallFailed          Decision = "call_failed"           // a call was answered with a failure
 	JobKept             Decision = "job_kept"              // the submission is in the store
 	CopyJoined          Decision = "copy_joined"           // a best-effort job came again; the call waits for its end
-	JobRefused          Decision = "job_refused"           // on arrival: it would wait too long, or too many jobs are here
+	JobRefused          Decision = "job_refused"           // on arrival: no worker, too long a wait, or too many jobs
 	JobGivenUp          Decision = "job_given_up"          // refused after it was admitted, before it began
 	RefusalBesideRoom   Decision = "refusal_beside_room"   // a fault: a job was to be refused though it fits; it was not
 	RunOrdered          Decision = "run_ordered"           // sent to a worker
 	TaskHeld            Decision = "task_held"             // waits for a faster worker; it would be late at the free ones
 	RunEnded            Decision = "run_ended"             // reported by its worker
-	RunAbsent           Decision = "run_absent"            // the worker doesn't know the run, which never began there
+	RunAbsent           Decision = "run_absent"            // missing from its worker's report: it is not running there
 	RunWrittenOff       Decision = "run_written_off"       // its worker is unreachable, its lease has certainly expired
 	RunTakenOver        Decision = "run_taken_over"        // a worker has the run, started by an earlier owner
 	WorkerUp            Decision = "worker_up"             // connected
